--- a/src/main/java/cedarrelay/ServiceQBalancer.java
+++ b/src/main/java/cedarrelay/ServiceQBalancer.java
@@ -10,192 +10,198 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of the load balancer. Its interface, meaning all types, events and actions, stands in
- * {@code Balancer.java}.
+ * The load-balancing policy: adaptive probability dispatch as in the ServiceQ paper, with the power of two
+ * choices. {@link Balancer} defines its events, actions and settings.
  *
- * <p>The ordinary path is ServiceQ's: a failed attempt adds one to its server's error count, a success
- * clears it; a first try draws two servers by weights that fall with the count and goes to the one with
- * fewer of this node's own requests in flight; a failure that may be repeated passes to the next server
- * in list order; when nothing can be tried the request waits, first come first served, inside the
- * client's time. Departures are marked "Exception" below and explained in docs/design.md.
+ * <p>A failed attempt adds one to the error count of its server, a success clears the count. A first attempt
+ * samples two servers with weights that fall as the error count grows, and goes to the one with fewer
+ * requests of this node in flight. A failed request that may be retried fails over to the next server in list
+ * order. If no server can take a request, it waits in the deferred queue, first come first served, until
+ * its deadline. Extensions of this mechanism are marked "Extension (name)" and explained in docs/design.md.
  */
 public final class ServiceQBalancer implements Balancer {
 
-    /** How many times a drawn server that may not be sent to is drawn again before all are looked through. */
-    private static final int REDRAWS = 3;
-    /** Power by which weights that are lowered with load count: all nodes hear the same word, and late. */
-    private static final double LIVE_PART = 0.3;
-    /** Share of a new answer in a server's pace. */
-    private static final double PACE_GAIN = 0.3;
-    /** A pace is forgotten in so many times the time in which a node asks each server once. */
-    private static final double PACE_KEPT = 12;
-    /** Times left that differ by less than this share of the deadline are the same: the client's way. */
-    private static final double USUAL_LEFT_WITHIN = 0.02;
-    /** From this share of a class on a time left is the one of first tries: in a jam most are not. */
-    private static final double USUAL_LEFT_AT = 0.2;
-    /** A probe is waited for during this share of the usual latency. */
-    private static final double ASK_FOR = 0.25;
-    /** Part of what comes late that asking both servers is expected to save: it is set against its price. */
-    private static final double ASK_GAIN = 0.5;
-    /** Share of faults from which on a pair is not asked: what fails fast answers probes fast too. */
-    private static final double FAULTY = 0.1;
-    /** A failure counts in the pace as an answer that took so many times the usual. */
-    private static final double FAULT_PACE = 5;
-    /** Paces that differ by less are alike: a server is tried again once its trouble is nearly forgotten. */
-    private static final double PACE_ALIKE = 0.05;
-    /** A zone from which nothing comes for so many usual latencies is silent: one answer may be slow. */
-    private static final double SILENT_FOR = 3;
-    /** Part of attempts answered in time under which a node throttles: less than in overload alone. */
-    private static final double THROTTLE_BELOW = 0.3;
-    /** A throttled node sends what is answered in time so many times over: enough to come back in seconds. */
-    private static final double THROTTLE = 2;
-    /** Part of what it is asked for that a throttled node sends in any case. */
-    private static final double THROTTLE_FLOOR = 0.03;
-    /** An answer inside so many times its class's least mean latency owes its length to the work. */
-    private static final double AT_BEST = 1.5;
-    /** Share of a new answer in the part answered in time. */
-    private static final double HEALTH_GAIN = 1.0 / 16;
-    /** Most attempts that a throttled node saves up. */
-    private static final double MOST_TOKENS = 3;
-    /** Shortest sweep over waiting requests: long against its cost, short against any aim. */
-    private static final long MIN_SWEEP_US = 5_000;
-    /** Share of a new value in a running mean: about the last 32. */
-    private static final double MEAN_GAIN = 1.0 / 32;
-    /** Gap between answers assumed before any: most of a large fleet's nodes may have just started. */
-    private static final double FIRST_GAP_US = 1_000_000;
-    /** Requests in flight that all nodes together start with for each server: few enough for one core. */
-    private static final double FIRST_LIMIT = 4;
-    /** Answers slower than this share of the aim say that a server is crowded: the rest is for chance. */
-    private static final double CROWDED_AT = 0.35;
-    /** Growth of a server's limit over all nodes for an answer in good time ... */
-    private static final double LIMIT_STEP = 0.15;
-    /** ... and its cut for a slow one: at a limit of four, one slow answer in four holds the balance. */
-    private static final double LIMIT_CUT = 0.1;
-    /** Answers that take this many times the least mean of their class say so too, however far the aim is. */
-    private static final double CROWDED_BY = 3;
-    /** The sum of the limits is a mean: so many of its roots pass on top, for chance is no crowd. */
-    private static final double BURST = 2.5;
-    /** Growth of that least mean with each answer, so that it follows a change of work. */
-    private static final double LEAST_DRIFT = 1.0001;
-    /** Power of the number of nodes with which both grow: at 0 many learn too slowly, at a half they jam. */
-    private static final double LEARN_BY_NODES = 0.25;
-    /** Cut of a limit for a request turned away or not answered in time, which is more than slow. */
-    private static final double LIMIT_HARD_CUT = 0.3;
-    /** A waiting request with fewer usual latencies left is too late: in overload all wait that long, */
-    private static final double TOO_LATE_AT = 2;
-    /** but at most with this share of the aim left: while all servers are slow, some may still wait. */
-    private static final double MOST_LATE_AT = 0.8;
-    /** Failures among a server's last {@link #REMEMBERED} answers from which on it is ejected. */
-    private static final int EJECT_AT = 4;
-    private static final int REMEMBERED = 16;
-    /** Successes in a row that bring an ejected server back: one may be luck, three hardly if most fail. */
-    private static final int TRIALS = 3;
-    /** Failures in a row of one class from which on a server gets no more of that class for a while. */
-    private static final int CLASS_OUT_AT = 2;
-    /** First time without requests for an ejected server, and the longest; failed trials double it. */
-    private static final long EJECT_US = 250_000;
-    private static final long MOST_EJECT_US = 4_000_000;
-    /** Own requests in flight from which on a local server is compared with those of other zones. */
-    private static final int SPILL_AT = 2;
-    /** Part of the budget for cold servers that is spent; the rest is for chance. */
-    private static final double COLD_SPEND = 0.8;
-    /** No server is taken to be larger than so many mean ones. */
-    private static final double MOST_PART = 2;
-    /** Least time between two lines in the operators' log. */
-    private static final long LOG_EVERY_US = 1_000_000;
-    /** A tenant may use up this much of its share at once before it counts as beyond it. */
-    private static final double SHARE_BURST_S = 1;
-    /** First wait before a failed list call is made again; doubled each time. */
-    private static final long LIST_BACKOFF_US = 250_000;
-    /** And the longest, half as long again by its jitter: with the 3 s of a call that is given up, and the
-     * answer to the next, it stays under the 6 s after which a change counts as told. */
-    private static final long MOST_LIST_BACKOFF_US = 1_000_000;
-
-    private static final Comparator<Call> BY_VALUE = Comparator.comparingDouble(call -> -call.value);
-    private final Settings set;
-    private final Actions out;
+    /** Samples repeated because the sampled server may not be sent to, before all servers are scanned. */
+    private static final int MAX_RESAMPLES = 3;
+    /** Exponent that damps weights lowered with load, because all nodes see the same weights, late. */
+    private static final double LOAD_WEIGHT_EXPONENT = 0.3;
+    /** Smoothing factor of the relative latency and the failure share of a server. */
+    private static final double SERVER_SMOOTHING = 0.3;
+    /** Decay time of a relative latency, in multiples of the time in which a node uses each server once. */
+    private static final double RELATIVE_LATENCY_DECAY_ROUNDS = 12;
+    /** Remaining times within this share of the deadline are equal; network delay makes them differ. */
+    private static final double TIME_LEFT_TOLERANCE = 0.02;
+    /** Share of a class with the same remaining time that marks first tries; most may be retries. */
+    private static final double FIRST_TRY_MIN_SHARE = 0.2;
+    /** Longest wait for probe results, as a share of the mean latency. */
+    private static final double PROBE_WAIT_SHARE = 0.25;
+    /** Share of late responses that probing two servers should avoid, to be weighed against its price. */
+    private static final double PROBE_SAVED_SHARE = 0.5;
+    /** Failure share above which a pair isn't probed: a server that fails fast also answers probes fast. */
+    private static final double PROBE_MAX_FAILURE_SHARE = 0.1;
+    /** Relative latency that a failure counts as. */
+    private static final double FAILURE_RELATIVE_LATENCY = 5;
+    /** Smaller differences of relative latency are ties, so that a server is retried as its own decays. */
+    private static final double RELATIVE_LATENCY_TIE = 0.05;
+    /** Mean latencies without a response after which a zone is silent; a single response may be slow. */
+    private static final double ZONE_SILENT_LATENCIES = 3;
+    /** On-time ratio below which a node throttles; mere overload doesn't lower the ratio this far. */
+    private static final double THROTTLE_BELOW_RATIO = 0.3;
+    /** Attempts that a throttled node may send for each on-time response: enough to recover in seconds. */
+    private static final double THROTTLE_TOKENS_ON_TIME = 2;
+    /** Attempts that a throttled node may send for each first try of a client, whatever the responses. */
+    private static final double THROTTLE_TOKENS_FIRST_TRY = 0.03;
+    /** Latency up to this multiple of the lowest mean of its class is caused by the work, not by load. */
+    private static final double UNLOADED_LATENCY_FACTOR = 1.5;
+    /** Smoothing factor of the on-time ratio. */
+    private static final double ON_TIME_SMOOTHING = 1.0 / 16;
+    /** Capacity of the token bucket of a throttled node, in attempts. */
+    private static final double MAX_SEND_TOKENS = 3;
+    /** Shortest interval between scans of the deferred queue: cheap, yet short against latency targets. */
+    private static final long MIN_QUEUE_SCAN_US = 5_000;
+    /** Smoothing factor of the moving averages: they cover about the last 32 samples. */
+    private static final double MEAN_SMOOTHING = 1.0 / 32;
+    /** Initial gap between served attempts: most nodes of a large fleet may have just started. */
+    private static final double INITIAL_SERVED_GAP_US = 1_000_000;
+    /** Initial concurrency limit of a server over all nodes: low enough for a server with one core. */
+    private static final double INITIAL_LIMIT = 4;
+    /** Share of the latency target above which a response is slow; the rest allows for random variation. */
+    private static final double SLOW_TARGET_SHARE = 0.35;
+    /** Increase of a server's limit, over all nodes, for a fast response. */
+    private static final double LIMIT_INCREASE = 0.15;
+    /** Relative decrease of the limit for a slow response: at a limit of 4, one slow in four balances. */
+    private static final double LIMIT_DECREASE = 0.1;
+    /** A response is also slow above this multiple of the lowest mean latency of its class. */
+    private static final double SLOW_LATENCY_FACTOR = 3;
+    /** Burst allowed above the sum of all limits, in square roots of that sum: random variation. */
+    private static final double LIMIT_SUM_BURST = 2.5;
+    /** Growth of the lowest mean latency with each response, so that it follows a change of the work. */
+    private static final double MIN_LATENCY_DRIFT = 1.0001;
+    /** Exponent of the node count that speeds up limits: at 0 many nodes adapt too slowly, 0.5 congests. */
+    private static final double LIMIT_NODES_EXPONENT = 0.25;
+    /** Relative decrease of a limit after a timeout, a stronger sign of overload than a slow response. */
+    private static final double LIMIT_TIMEOUT_DECREASE = 0.3;
+    /** A deferred request with fewer mean latencies left is late; under overload all wait until then. */
+    private static final double LATE_MEAN_LATENCIES = 2;
+    /** Upper bound of that, as a share of the latency target: if all servers are slow, some still wait. */
+    private static final double LATE_MAX_SHARE = 0.8;
+    /** Failures among the last {@link #HISTORY_SIZE} outcomes of a server that eject it. */
+    private static final int EJECT_FAILURES = 4;
+    /** Outcomes remembered for each server. */
+    private static final int HISTORY_SIZE = 16;
+    /** Consecutive successes that end an ejection: if most attempts fail, three in a row are unlikely. */
+    private static final int RESTORE_SUCCESSES = 3;
+    /** Consecutive failures of one class that eject a server for that class. */
+    private static final int CLASS_EJECT_FAILURES = 2;
+    /** First and longest duration of an ejection; each failed trial doubles it. */
+    private static final long MIN_EJECT_US = 250_000;
+    private static final long MAX_EJECT_US = 4_000_000;
+    /** Requests of this node in flight from which a local server is compared with those of other zones. */
+    private static final int SPILL_IN_FLIGHT = 2;
+    /** Share of the slow start budget that is used; the rest allows for random variation. */
+    private static final double SLOW_START_BUDGET_SHARE = 0.8;
+    /** Upper bound for the size of a server in slow start, in mean server sizes. */
+    private static final double MAX_SIZE_RATIO = 2;
+    /** Least time between two log lines. */
+    private static final long MIN_LOG_INTERVAL_US = 1_000_000;
+    /** Burst that a tenant may send before it exceeds its quota, in seconds of that quota. */
+    private static final double QUOTA_BURST_S = 1;
+    /** Backoff before the first retry of a failed list request; doubled with each failure. */
+    private static final long MIN_LIST_BACKOFF_US = 250_000;
+    /** Longest backoff, to which jitter adds up to a half. With the 3 s timeout of a list request and the
+     * response to the next, it stays below the 6 s after which a change counts as notified. */
+    private static final long MAX_LIST_BACKOFF_US = 1_000_000;
+
+    private static final Comparator<Call> BY_PRIORITY = Comparator.comparingDouble(call -> -call.value);
+    private final Settings settings;
+    private final Actions actions;
     private final SplittableRandom random;
-    private final long sweepUs;
-    private final double limitStep;
-    private final double limitCut;
-    private final Map<String, Server> byId = new HashMap<>();
-    private final List<Server> listed = new ArrayList<>();
+    private final long queueScanUs;
+    private final double limitIncrease;
+    private final double limitDecrease;
+    private final Map<String, Server> serversById = new HashMap<>();
+    private final List<Server> listedServers = new ArrayList<>();
     private Server[] ready = new Server[0];
-    /** What is drawn from: all servers that are ready, and those of this node's own zone. */
-    private Pool everywhere = new Pool(ready);
-    private Pool nearby = everywhere;
+    /** The servers to sample from: all that are ready, and those of them in the zone of this node. */
+    private Pool allZones = new Pool(ready);
+    private Pool localZone = allZones;
     private boolean weightsStale;
-    private double largestEffect = 1;
-    private double totalNominal;
-    private int ejectedServers;
-    private long logFreeAt;
+    /** Weight before division by the errors of a server; grows with the largest error count. */
+    private double maxErrorFactor = 1;
+    private double totalNominalSize;
+    private int ejectedCount;
+    private long nextLogAt;
     private final Map<Long, Call> calls = new HashMap<>();
-    private final ArrayList<Call> waiting = new ArrayList<>();
-    private final PriorityQueue<Call> asking = new PriorityQueue<>(Comparator.comparingLong(c -> c.decideAt));
+    private final ArrayList<Call> deferredQueue = new ArrayList<>();
+    private final PriorityQueue<Call> awaitingProbes =
+            new PriorityQueue<>(Comparator.comparingLong(c -> c.decideAt));
     private long now;
-    private long wakePending = Long.MAX_VALUE;
+    private long pendingWakeAt = Long.MAX_VALUE;
     private long lastServedAt;
-    private double servedGapUs = FIRST_GAP_US;
+    private double servedGapUs = INITIAL_SERVED_GAP_US;
     private int servedCount;
-    private final double[] latencyUs;
-    private final double[] leastLatencyUs;
-    private final int[] answers;
-    private final double[] shareLeft;
-    private final long[] shareSeenAt;
-    private final long[] usualLeftUs;
-    private final double[] usualLeftShare;
-    private final int[] asked;
-    /** By zone: since when nothing has come of what was sent there, or 0, and when it was sent to last. */
-    private final long[] unheardSince;
-    private final long[] lastSentAt;
-    private int inFlight;
-    private double limits;
-    private double echoUs;
-    private int echoes;
-    private double lateShare;
-    private double health = 1;
+    private final double[] meanLatencyUs;
+    private final double[] minMeanLatencyUs;
+    private final int[] latencySamples;
+    private final double[] quotaTokens;
+    private final long[] quotaUsedAt;
+    private final long[] usualTimeLeftUs;
+    private final double[] usualTimeLeftShare;
+    private final int[] requestCounts;
+    /** By zone: time of the first send that has had no response since (0 if none), and of the last send. */
+    private final long[] zoneUnansweredSince;
+    private final long[] zoneLastSentAt;
+    private int totalInFlight;
+    private double limitSum;
+    private double meanProbeUs;
+    private int probeSamples;
+    /** Moving share of attempts that failed or were late. */
+    private double notOnTimeShare;
+    private double onTimeRatio = 1;
+    /** Attempts that a throttled node may send. */
     private double sendTokens;
-    private double usualWorth;
-    private int valued;
-    private long askListAt = Long.MAX_VALUE;
-    private long listBackoffUs = LIST_BACKOFF_US;
+    private double meanUtility;
+    private int utilitySamples;
+    private long listRequestAt = Long.MAX_VALUE;
+    private long listBackoffUs = MIN_LIST_BACKOFF_US;
 
-    /** Servers with their weights summed up to each. */
+    /** Servers and the running sums of their weights. */
     private static final class Pool {
         final Server[] servers;
-        final double[] weightsUpTo;
+        final double[] weightSums;
 
         Pool(Server[] servers) {
             this.servers = servers;
-            weightsUpTo = new double[servers.length];
+            weightSums = new double[servers.length];
         }
     }
 
     /**
-     * A node that has just started and knows nothing.
+     * Creates the balancer of a node without any server list.
      *
+     * @param seed seed of all random choices
      * @throws IllegalArgumentException if the settings are out of range
      */
-    public ServiceQBalancer(Settings settings, long seed, Actions actions) {
-        settings.validate();
-        set = settings;
-        out = actions;
+    public ServiceQBalancer(Settings nodeSettings, long seed, Actions nodeActions) {
+        nodeSettings.validate();
+        settings = nodeSettings;
+        actions = nodeActions;
         random = new SplittableRandom(seed);
-        sweepUs = Math.max(MIN_SWEEP_US, 2 * settings.tickUs);
-        // Both by the same factor: for all nodes together the balance between step and cut stays.
-        double pace = Math.pow(set.nodes, LEARN_BY_NODES);
-        limitStep = LIMIT_STEP / pace;
-        limitCut = 1 - Math.pow(1 - LIMIT_CUT, pace);
-        latencyUs = new double[set.classes.size()];
-        leastLatencyUs = new double[set.classes.size()];
-        answers = new int[set.classes.size()];
-        usualLeftUs = new long[set.classes.size()];
-        asked = new int[set.classes.size()];
-        usualLeftShare = new double[set.classes.size()];
-        unheardSince = new long[set.zones.size()];
-        lastSentAt = new long[set.zones.size()];
-        shareLeft = new double[set.tenants.size()];
-        shareSeenAt = new long[set.tenants.size()];
+        queueScanUs = Math.max(MIN_QUEUE_SCAN_US, 2 * nodeSettings.tickUs);
+        // Both change by the same factor, which keeps their balance over all nodes.
+        double adjustment = Math.pow(settings.nodes, LIMIT_NODES_EXPONENT);
+        limitIncrease = LIMIT_INCREASE / adjustment;
+        limitDecrease = 1 - Math.pow(1 - LIMIT_DECREASE, adjustment);
+        meanLatencyUs = new double[settings.classes.size()];
+        minMeanLatencyUs = new double[settings.classes.size()];
+        latencySamples = new int[settings.classes.size()];
+        usualTimeLeftUs = new long[settings.classes.size()];
+        requestCounts = new int[settings.classes.size()];
+        usualTimeLeftShare = new double[settings.classes.size()];
+        zoneUnansweredSince = new long[settings.zones.size()];
+        zoneLastSentAt = new long[settings.zones.size()];
+        quotaTokens = new double[settings.tenants.size()];
+        quotaUsedAt = new long[settings.tenants.size()];
     }
 
     // ---------------------------------------------------------------- the server list
@@ -204,27 +210,26 @@
     public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
         now = nowUs;
         if (kind != ListKind.CHANGES) {
-            for (Server server : listed) {
+            for (Server server : listedServers) {
                 server.state = ServerState.GONE;
             }
-            listed.clear();
+            listedServers.clear();
         }
         for (ServerEntry entry : entries) {
-            Server server = byId.computeIfAbsent(entry.id(),
-                    id -> new Server(id, firstLimit(), set.classes.size()));
+            Server server = serversById.computeIfAbsent(entry.id(),
+                    id -> new Server(id, initialLimit(), settings.classes.size()));
             if (entry.state() == ServerState.GONE) {
-                listed.remove(server);
-            } else if (!listed.contains(server)) {
-                listed.add(server);
+                listedServers.remove(server);
+            } else if (!listedServers.contains(server)) {
+                listedServers.add(server);
             }
             if (entry.startedAtUs() > server.startedAt) {
-                // A new process: what was counted against the old one says nothing of it.
-                restore(server);
+                // The server was restarted: failures of the old process say nothing about the new one.
+                resetFailureState(server);
                 Arrays.fill(server.misses, 0);
                 Arrays.fill(server.outUntil, 0);
                 server.startedAt = entry.startedAtUs();
-                // All nodes learn of a start at about the same time: they must not all send at once
-                // (icd7515).
+                // All nodes are notified of a start at about the same time and must not send at once.
                 server.coldSentAt = now;
                 server.coldPhase = random.nextDouble();
             }
@@ -233,49 +238,49 @@
             server.cell = entry.cell();
             server.weight = entry.weight() > 0 ? entry.weight() : 1;
             server.nominal = Math.max(server.nominal, server.weight);
-            server.size = server.nominal * Math.pow(server.weight / server.nominal, LIVE_PART);
+            server.size = server.nominal * Math.pow(server.weight / server.nominal, LOAD_WEIGHT_EXPONENT);
         }
-        ready = listed.stream().filter(s -> s.state == ServerState.READY).toArray(Server[]::new);
-        totalNominal = 0;
+        ready = listedServers.stream().filter(s -> s.state == ServerState.READY).toArray(Server[]::new);
+        totalNominalSize = 0;
         for (int i = 0; i < ready.length; i++) {
             ready[i].position = i;
-            totalNominal += ready[i].nominal;
+            totalNominalSize += ready[i].nominal;
         }
-        // Servers come and go for as long as a node runs: what is gone and holds nothing is forgotten.
-        byId.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
-        everywhere = new Pool(ready);
-        nearby = set.crossZonePrice == 0 ? everywhere
+        // Drop removed servers without attempts in flight, or the map grows for as long as the node runs.
+        serversById.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
+        allZones = new Pool(ready);
+        localZone = settings.crossZonePrice == 0 ? allZones
                 : new Pool(Arrays.stream(ready).filter(this::isLocal).toArray(Server[]::new));
         weightsStale = true;
-        countReady();
-        if (set.listOnRequest) {
+        recountServersInUse();
+        if (settings.listOnRequest) {
             if (kind == ListKind.CACHED) {
-                askForList();
+                requestList();
             } else {
-                askListAt = Long.MAX_VALUE;
-                listBackoffUs = LIST_BACKOFF_US;
+                listRequestAt = Long.MAX_VALUE;
+                listBackoffUs = MIN_LIST_BACKOFF_US;
             }
         }
-        serveWaiting();
+        serveDeferred();
         scheduleWake();
     }
 
     @Override
     public void onListFailed(long nowUs) {
         now = nowUs;
-        if (!set.listOnRequest) {
+        if (!settings.listOnRequest) {
             return;
         }
-        // Jittered backoff: nodes that failed together must not ask together again.
-        askListAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
+        // Backoff with jitter, so that nodes that failed together don't retry together.
+        listRequestAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
         listBackoffUs = Math.min(2 * listBackoffUs,
-                Math.max(1, Math.min(MOST_LIST_BACKOFF_US, set.askWithinUs / 4)));
+                Math.max(1, Math.min(MAX_LIST_BACKOFF_US, settings.askWithinUs / 4)));
         scheduleWake();
     }
 
-    private void askForList() {
-        out.subscribe();
-        askListAt = now + Math.max(1, set.askWithinUs / 2);
+    private void requestList() {
+        actions.subscribe();
+        listRequestAt = now + Math.max(1, settings.askWithinUs / 2);
     }
 
     // ---------------------------------------------------------------- requests and outcomes
@@ -283,69 +288,70 @@
     @Override
     public void onRequest(long nowUs, Request request) {
         now = nowUs;
-        if (request.classIndex() < 0 || request.classIndex() >= set.classes.size()
-                || request.tenant() >= set.tenants.size() || calls.containsKey(request.id())) {
-            throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + request);
+        if (request.classIndex() < 0 || request.classIndex() >= settings.classes.size()
+                || request.tenant() >= settings.tenants.size() || calls.containsKey(request.id())) {
+            throw new IllegalArgumentException("unknown class or tenant, or id still pending: " + request);
         }
-        long elapsedUs = elapsedBefore(request);
-        Call call = new Call(request, set, now, elapsedUs);
+        long elapsedUs = elapsedSinceFirstTryUs(request);
+        Call call = new Call(request, settings, now, elapsedUs);
         calls.put(request.id(), call);
-        // By first tries: in a jam clients' retries multiply what is asked.
-        sendTokens = Math.min(MOST_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLE_FLOOR : 0));
-        call.value = value(call);
-        // On a node that is behind the answer will lie unread too: what can't be in time takes none of the
-        // processor from the rest. After a single pause that is too much.
-        if (isWorthless(call) || call.cls.lateWorth() == 0 && request.waitedUs() > sweepUs && call.aimAt - now
-                < request.waitedUs() / 2 + latencyUs[request.classIndex()]) {
-            giveUp(call);
+        // Counts first tries only: under congestion the clients' retries multiply the load.
+        sendTokens = Math.min(MAX_SEND_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLE_TOKENS_FIRST_TRY : 0));
+        call.value = queuePriority(call);
+        // If the event loop lags, the response will be read late too: a request that can't be on time would
+        // only take processor time from others. After a single pause this rejects too many requests.
+        if (hasNoUtilityLeft(call) || call.cls.lateWorth() == 0 && request.waitedUs() > queueScanUs
+                && call.aimAt - now < request.waitedUs() / 2 + meanLatencyUs[request.classIndex()]) {
+            endUnserved(call);
             return;
         }
-        if (!waiting.isEmpty() || now >= call.deadlineAt || !ask(call)) {
-            place(call);
+        if (!deferredQueue.isEmpty() || now >= call.deadlineAt || !startedProbes(call)) {
+            sendOrDefer(call);
         }
         scheduleWake();
     }
 
-    /** Sends a request by the draw, or lets it wait. */
-    private void place(Call call) {
-        Server server = waiting.isEmpty() && now < call.deadlineAt ? drawForFirstTry(call) : null;
+    /** Sends a request to a sampled server, or defers it. */
+    private void sendOrDefer(Call call) {
+        Server server = deferredQueue.isEmpty() && now < call.deadlineAt ? pickServer(call) : null;
         if (server != null) {
             send(call, server);
         } else {
             defer(call);
-            serveWaiting();
+            serveDeferred();
         }
     }
 
     /**
-     * How long a client has been asking before this try: nothing where clients mark their repeats and this
-     * one is not marked. Else its time left tells: first tries of a class, the most by far, all have the
-     * same, and later ones what is left of the deadline.
+     * Returns the time since the first try of the client; 0 for a request without the retry mark of clients
+     * that mark their retries. Otherwise it is derived from the remaining time: it is the same for all first
+     * tries of a class, by far the most requests, and for retries what is left of the deadline.
      */
-    private long elapsedBefore(Request request) {
-        if (set.marksRetry && !request.retry()) {
+    private long elapsedSinceFirstTryUs(Request request) {
+        if (settings.marksRetry && !request.retry()) {
             return 0;
         }
-        int c = request.classIndex();
-        long deadline = set.classes.get(c).deadlineUs();
+        int classIndex = request.classIndex();
+        long deadlineUs = settings.classes.get(classIndex).deadlineUs();
         long leftUs = request.leftUs() + request.waitedUs();
-        boolean usual = Math.abs(leftUs - usualLeftUs[c]) <= USUAL_LEFT_WITHIN * deadline;
-        usualLeftShare[c] += meanGain(++asked[c]) * ((usual ? 1 : 0) - usualLeftShare[c]);
-        if (!usual && usualLeftShare[c] < USUAL_LEFT_AT) {
-            // No time left is the usual one (yet), so it tells nothing.
-            usualLeftUs[c] = leftUs;
+        boolean usual = Math.abs(leftUs - usualTimeLeftUs[classIndex]) <= TIME_LEFT_TOLERANCE * deadlineUs;
+        usualTimeLeftShare[classIndex] += smoothing(++requestCounts[classIndex])
+                * ((usual ? 1 : 0) - usualTimeLeftShare[classIndex]);
+        if (!usual && usualTimeLeftShare[classIndex] < FIRST_TRY_MIN_SHARE) {
+            // No remaining time is common enough yet to tell first tries from retries.
+            usualTimeLeftUs[classIndex] = leftUs;
             return 0;
         }
-        return usual ? 0 : Math.max(0, deadline - leftUs);
+        return usual ? 0 : Math.max(0, deadlineUs - leftUs);
     }
 
-    /** Share of the newest of so many values in a running mean: an even part until there are many. */
-    private static double meanGain(int values) {
-        return Math.max(MEAN_GAIN, 1.0 / values);
+    /** Returns the smoothing factor for the newest of so many samples: a plain mean until there are many. */
+    private static double smoothing(int samples) {
+        return Math.max(MEAN_SMOOTHING, 1.0 / samples);
     }
 
-    /** Whether no answer can earn anything any more: then it takes no server's time (i9ce813). */
-    private boolean isWorthless(Call call) {
+    /** Whether no response can earn anything any more, so that an attempt would only waste server time. */
+    private boolean hasNoUtilityLeft(Call call) {
         return call.cls.lateWorth() == 0 && now >= call.aimAt;
     }
 
@@ -363,48 +369,49 @@
         call.outstanding--;
         server.inFlight--;
         if (server.zone >= 0 && (result == Result.OK || result == Result.ERROR || result == Result.FULL)) {
-            unheardSince[server.zone] = 0;
+            zoneUnansweredSince[server.zone] = 0;
         }
-        inFlight -= isCounted(server) ? 1 : 0;
+        totalInFlight -= isInUse(server) ? 1 : 0;
         server.unreachable = result == Result.CONNECT_FAILED;
         if (result == Result.OK) {
-            succeeded(server);
+            recordSuccess(server);
         } else if (outcome.isTelling()) {
-            // A time-out of a server that has answered since tells of crowding, as being full does.
-            boolean crowded = result == Result.FULL
+            // The timeout of a server that has since responded is a sign of overload, like a rejection.
+            boolean overloaded = result == Result.FULL
                     || result == Result.TIMEOUT && server.answeredAt >= call.sentAt[attempt];
-            failed(server, !crowded);
+            recordFailure(server, !overloaded);
             if (result != Result.FULL && result != Result.TIMEOUT) {
-                server.faults += PACE_GAIN * (1 - server.faults);
-                learnPace(server, FAULT_PACE);
+                server.faults += SERVER_SMOOTHING * (1 - server.faults);
+                updateRelativeLatency(server, FAILURE_RELATIVE_LATENCY);
             }
         }
         if (result == Result.OK || result == Result.ERROR) {
             server.answeredAt = now;
         }
         if (outcome.isTelling()) {
-            learnClass(call, attempt);
-            double usual = latencyUs[call.request.classIndex()];
-            if ((result == Result.OK || result == Result.TIMEOUT) && usual > 0) {
-                learnPace(server, outcome.servedUs() / usual);
+            recordClassOutcome(call, attempt);
+            double meanUs = meanLatencyUs[call.request.classIndex()];
+            if ((result == Result.OK || result == Result.TIMEOUT) && meanUs > 0) {
+                updateRelativeLatency(server, outcome.servedUs() / meanUs);
             }
-            boolean inTime = now - outcome.stallUs() <= call.aimAt;
-            lateShare += MEAN_GAIN * ((result != Result.OK || !inTime ? 1 : 0) - lateShare);
+            boolean onTime = now - outcome.stallUs() <= call.aimAt;
+            notOnTimeShare += MEAN_SMOOTHING * ((result != Result.OK || !onTime ? 1 : 0) - notOnTimeShare);
             if (result == Result.OK || result == Result.TIMEOUT) {
-                // An error says nothing of crowding, nor does work that takes longer than its aim.
-                double least = leastLatencyUs[call.request.classIndex()];
-                boolean longAtBest = least < Double.MAX_VALUE && outcome.servedUs() < AT_BEST * least;
-                learnHealth(result != Result.OK ? 0 : inTime || longAtBest ? 1 : call.cls.lateWorth());
+                // Errors are no sign of overload, nor is work that takes longer than its latency target.
+                double minMeanUs = minMeanLatencyUs[call.request.classIndex()];
+                boolean slowByWork = minMeanUs < Double.MAX_VALUE
+                        && outcome.servedUs() < UNLOADED_LATENCY_FACTOR * minMeanUs;
+                updateOnTimeRatio(result != Result.OK ? 0 : onTime || slowByWork ? 1 : call.cls.lateWorth());
             }
             adaptLimit(call, attempt, outcome);
         }
         if (outcome.requestEnded()) {
-            end(call);
+            finish(call);
         } else if (!call.ended && call.outstanding == 0) {
-            passOn(call, server);
+            failOver(call, server);
         }
-        forgetIfOver(call);
-        serveWaiting();
+        removeIfFinished(call);
+        serveDeferred();
         scheduleWake();
     }
 
@@ -422,28 +429,28 @@
         now = nowUs;
         Call call = calls.get(requestId);
         if (call != null) {
-            end(call);
+            finish(call);
         }
     }
 
     @Override
-    public void onProbe(long nowUs, String serverId, Result result, long tookUs, double[] report) {
+    public void onProbe(long nowUs, String serverId, Result result, long probeLatencyUs, double[] report) {
         now = nowUs;
-        Server server = byId.get(serverId);
+        Server server = serversById.get(serverId);
         if (server == null || !server.asked) {
             return;
         }
         server.asked = false;
         if (result != Result.OK) {
-            // No count and no ejection by probes: a jammed server drops them and still serves.
-            learnPace(server, CROWDED_BY);
+            // Adds no error and ejects nothing: a congested server drops probes and still serves requests.
+            updateRelativeLatency(server, SLOW_LATENCY_FACTOR);
         } else {
-            echoUs += meanGain(++echoes) * (tookUs - echoUs);
-            learnPace(server, Math.min(FAULT_PACE, tookUs / echoUs));
+            meanProbeUs += smoothing(++probeSamples) * (probeLatencyUs - meanProbeUs);
+            updateRelativeLatency(server, Math.min(FAILURE_RELATIVE_LATENCY, probeLatencyUs / meanProbeUs));
         }
-        List<Call> askers = new ArrayList<>(server.askers);
+        List<Call> waitingCalls = new ArrayList<>(server.askers);
         server.askers.clear();
-        for (Call call : askers) {
+        for (Call call : waitingCalls) {
             if (!call.asking) {
                 continue;
             }
@@ -452,102 +459,105 @@
                 send(call, server);
             } else if (--call.asksOut == 0) {
                 call.asking = false;
-                place(call);
+                sendOrDefer(call);
             }
         }
-        serveWaiting();
+        serveDeferred();
         scheduleWake();
     }
 
     @Override
     public void onWake(long nowUs) {
         now = nowUs;
-        wakePending = now >= wakePending ? Long.MAX_VALUE : wakePending;
-        if (now >= askListAt) {
-            askForList();
+        pendingWakeAt = now >= pendingWakeAt ? Long.MAX_VALUE : pendingWakeAt;
+        if (now >= listRequestAt) {
+            requestList();
         }
-        decideUnanswered();
-        serveWaiting();
+        endExpiredProbeWaits();
+        serveDeferred();
         scheduleWake();
     }
 
     private void scheduleWake() {
-        while (!asking.isEmpty() && !asking.peek().asking) {
-            asking.poll();
+        while (!awaitingProbes.isEmpty() && !awaitingProbes.peek().asking) {
+            awaitingProbes.poll();
         }
-        long at = waiting.isEmpty() ? askListAt : Math.min(askListAt, now + sweepUs);
-        at = asking.isEmpty() ? at : Math.min(at, asking.peek().decideAt);
-        if (at < wakePending) {
-            wakePending = Math.max(at, now + 1);
-            out.wakeAt(wakePending);
+        long wakeAt = deferredQueue.isEmpty() ? listRequestAt : Math.min(listRequestAt, now + queueScanUs);
+        wakeAt = awaitingProbes.isEmpty() ? wakeAt : Math.min(wakeAt, awaitingProbes.peek().decideAt);
+        if (wakeAt < pendingWakeAt) {
+            pendingWakeAt = Math.max(wakeAt, now + 1);
+            actions.wakeAt(pendingWakeAt);
         }
     }
 
-    // ---------------------------------------------------------------- the mechanism
+    // ---------------------------------------------------------------- error counts
 
-    /** A failure adds one; failures that say something of health, not of crowding, may eject the server. */
-    private void failed(Server server, boolean ill) {
+    /** Adds one to the error count. A failure that isn't a sign of overload may eject the server. */
+    private void recordFailure(Server server, boolean ejectable) {
         server.errors++;
         weightsStale = true;
-        if (ill) {
+        if (ejectable) {
             server.history = server.history << 1 | 1;
             server.trialsWon = 0;
-            if (server.ejected || recentFailures(server) >= EJECT_AT) {
+            if (server.ejected || recentFailures(server) >= EJECT_FAILURES) {
                 eject(server);
             }
         }
     }
 
-    /** A success clears the count; an ejected server has to succeed several times in a row. */
-    private void succeeded(Server server) {
+    /** Clears the error count; an ejected server is restored only after several successes in a row. */
+    private void recordSuccess(Server server) {
         server.history <<= 1;
         server.servedAt = now;
-        server.faults -= PACE_GAIN * server.faults;
+        server.faults -= SERVER_SMOOTHING * server.faults;
         if (!server.ejected) {
             clearErrors(server);
             return;
         }
         server.trialAt = now;
-        if (++server.trialsWon >= TRIALS) {
+        if (++server.trialsWon >= RESTORE_SUCCESSES) {
             log("restored server " + server.id);
-            restore(server);
-            countReady();
+            resetFailureState(server);
+            recountServersInUse();
         }
     }
 
     /**
-     * Exception, classes: a server may serve all but one class, and its answers to the others must not hide
-     * that. What failed {@link #CLASS_OUT_AT} times in a row is kept from it for a while, twice as long after
-     * each single try that fails; in no more than half of the servers, as with ejection.
+     * Extension (classes): a server may fail one class only, which its successes in other classes must not
+     * hide. After {@link #CLASS_EJECT_FAILURES} consecutive failures of a class it is ejected for that class,
+     * twice as long after each single attempt that fails. As with ejection, this affects at most half of the
+     * servers.
      */
-    private void learnClass(Call call, int attempt) {
+    private void recordClassOutcome(Call call, int attempt) {
         Server server = call.servers[attempt];
-        int c = call.request.classIndex();
+        int classIndex = call.request.classIndex();
         switch (call.results[attempt]) {
-            case OK -> server.heardAt[c] = now;
-            case ERROR, RESET -> server.misses[c]++;
-            case TIMEOUT -> server.misses[c] += server.heardAt[c] < call.sentAt[attempt] ? 1 : 0;
+            case OK -> server.heardAt[classIndex] = now;
+            case ERROR, RESET -> server.misses[classIndex]++;
+            case TIMEOUT -> server.misses[classIndex] +=
+                    server.heardAt[classIndex] < call.sentAt[attempt] ? 1 : 0;
             default -> { }
         }
-        server.misses[c] = call.results[attempt] == Result.OK ? 0 : server.misses[c];
-        keepOut(server, c);
+        server.misses[classIndex] = call.results[attempt] == Result.OK ? 0 : server.misses[classIndex];
+        ejectForClass(server, classIndex);
     }
 
-    private void keepOut(Server server, int c) {
-        int more = server.misses[c] - CLASS_OUT_AT;
-        if (more >= 0 && !areMostOut(server, c)) {
-            server.outUntil[c] = now + Math.min(MOST_EJECT_US, 2 * EJECT_US << Math.min(more, REMEMBERED));
+    private void ejectForClass(Server server, int classIndex) {
+        int excessFailures = server.misses[classIndex] - CLASS_EJECT_FAILURES;
+        if (excessFailures >= 0 && !wouldEjectMajority(server, classIndex)) {
+            server.outUntil[classIndex] = now
+                    + Math.min(MAX_EJECT_US, 2 * MIN_EJECT_US << Math.min(excessFailures, HISTORY_SIZE));
         }
     }
 
-    /** Whether with this server more than half would get none of a class. */
-    private boolean areMostOut(Server server, int c) {
+    /** Whether with this server more than half of the servers would be ejected for a class. */
+    private boolean wouldEjectMajority(Server server, int classIndex) {
         return ready.length < 2 + 2 * Arrays.stream(ready)
-                .filter(s -> s != server && (s.ejected || now < s.outUntil[c])).count();
+                .filter(s -> s != server && (s.ejected || now < s.outUntil[classIndex])).count();
     }
 
     private static int recentFailures(Server server) {
-        return Integer.bitCount(server.history & (1 << REMEMBERED) - 1);
+        return Integer.bitCount(server.history & (1 << HISTORY_SIZE) - 1);
     }
 
     private void clearErrors(Server server) {
@@ -558,47 +568,49 @@
     // ---------------------------------------------------------------- ejection
 
     /**
-     * Exception, ejection: a server that failed {@link #EJECT_AT} of its last {@link #REMEMBERED} answers
-     * gets nothing but single trials of repeatable requests, further apart each time one fails. Never
-     * more than half of the servers are out: when most fail, the trouble is not theirs, and the weights
-     * alone decide.
+     * Extension (ejection): a server with {@link #EJECT_FAILURES} failures in its last
+     * {@link #HISTORY_SIZE} outcomes gets only single trials of retryable requests, at longer intervals
+     * each time one fails. At most half of the servers are ejected: if most servers fail, the cause is
+     * elsewhere, and the weights alone decide.
      */
     private void eject(Server server) {
         if (!server.ejected) {
-            if (2 * (ejectedServers + 1) > ready.length) {
+            if (2 * (ejectedCount + 1) > ready.length) {
                 return;
             }
             server.ejected = true;
-            server.ejectedForUs = EJECT_US / 2;
+            server.ejectedForUs = MIN_EJECT_US / 2;
             log("ejected server " + server.id + " after " + recentFailures(server) + " failures");
-            for (int c = 0; c < answers.length; c++) {
-                for (int i = 0; i < ready.length && areMostOut(server, c); i++) {
-                    ready[i].outUntil[c] = 0;
+            // Class ejections end where, with this one, they would leave less than half of the servers.
+            for (int classIndex = 0; classIndex < latencySamples.length; classIndex++) {
+                for (int i = 0; i < ready.length && wouldEjectMajority(server, classIndex); i++) {
+                    ready[i].outUntil[classIndex] = 0;
                 }
             }
         }
-        server.ejectedForUs = Math.min(MOST_EJECT_US, 2 * server.ejectedForUs);
+        server.ejectedForUs = Math.min(MAX_EJECT_US, 2 * server.ejectedForUs);
         server.trialAt = now + server.ejectedForUs / 2 + random.nextLong(server.ejectedForUs);
-        countReady();
+        recountServersInUse();
     }
 
-    /** A server to begin anew with. */
-    private void restore(Server server) {
+    /** Clears the failures and the ejection of a server and sets its limit to the initial one. */
+    private void resetFailureState(Server server) {
         clearErrors(server);
         server.history = 0;
         server.ejected = false;
         server.trialsWon = 0;
-        server.limit = firstLimit();
+        server.limit = initialLimit();
     }
 
-    /** What servers in use hold on the mean, as learnt so far: at few answers each it takes long to learn. */
-    private double firstLimit() {
-        int counted = ready.length - ejectedServers;
-        return counted > 0 ? Math.max(FIRST_LIMIT / set.nodes, limits / counted) : FIRST_LIMIT / set.nodes;
+    /** The mean limit of the servers in use: with few responses each, learning a limit takes long. */
+    private double initialLimit() {
+        int inUse = ready.length - ejectedCount;
+        return inUse > 0 ? Math.max(INITIAL_LIMIT / settings.nodes, limitSum / inUse)
+                : INITIAL_LIMIT / settings.nodes;
     }
 
-    /** An ejected server that is due for a trial with this request, if it is repeatable, or null. */
-    private Server trial(Call call) {
+    /** Returns an ejected server due for a trial with this request, or null; null for unsafe requests. */
+    private Server findTrialServer(Call call) {
         for (Server server : ready) {
             if (server.ejected && call.cls.repeat() != Repeat.UNSAFE && now >= server.trialAt
                     && server.inFlight == 0 && isAllowed(call, server)) {
@@ -609,15 +621,16 @@
     }
 
     /**
-     * An ejected server that served lately and takes connections, for a repeatable request that no other
-     * server has room for, or null: in a crowded fleet half of its work is worth more than none.
+     * Returns an ejected server that served recently and accepts connections, for a retryable request that
+     * no other server has capacity for, or null. If all servers are overloaded, one that fails half of its
+     * requests is better than none.
      */
-    private Server lastResort(Call call) {
+    private Server findEjectedFallback(Call call) {
         Server best = null;
         for (Server server : ready) {
             if (server.ejected && call.cls.repeat() != Repeat.UNSAFE && !isAtLimit(server)
                     && !server.unreachable && !hasJustTried(call, server)
-                    && now < server.servedAt + MOST_EJECT_US && isAllowed(call, server)
+                    && now < server.servedAt + MAX_EJECT_US && isAllowed(call, server)
                     && (best == null || recentFailures(server) < recentFailures(best))) {
                 best = server;
             }
@@ -625,202 +638,206 @@
         return best;
     }
 
-    /** Counts the servers in use anew: what hangs at one ejected or gone must not hold back the others. */
-    private void countReady() {
-        limits = 0;
-        inFlight = 0;
-        ejectedServers = 0;
+    /** Recounts servers in use: requests stuck at ejected or removed ones must not use up the limits. */
+    private void recountServersInUse() {
+        limitSum = 0;
+        totalInFlight = 0;
+        ejectedCount = 0;
         for (Server server : ready) {
-            if (isCounted(server)) {
-                limits += server.limit;
-                inFlight += server.inFlight;
+            if (isInUse(server)) {
+                limitSum += server.limit;
+                totalInFlight += server.inFlight;
             } else {
-                ejectedServers++;
+                ejectedCount++;
             }
         }
     }
 
-    private static boolean isCounted(Server server) {
+    private static boolean isInUse(Server server) {
         return server.state == ServerState.READY && !server.ejected;
     }
 
     private void log(String line) {
-        if (now >= logFreeAt) {
-            logFreeAt = now + LOG_EVERY_US;
-            out.log(line);
+        if (now >= nextLogAt) {
+            nextLogAt = now + MIN_LOG_INTERVAL_US;
+            actions.log(line);
         }
     }
 
-    // ---------------------------------------------------------------- draws
+    // ---------------------------------------------------------------- server selection
 
-    /** Two draws by weight; the one with fewer own requests in flight, ties at random. */
-    private Server drawForFirstTry(Call call) {
-        Server due = trial(call);
-        Server server = due == null ? drawByZone(call) : due;
-        return server == null ? lastResort(call) : server;
+    /** Returns an ejected server due for a trial, else the better of two samples, else a fallback or null. */
+    private Server pickServer(Call call) {
+        Server trialServer = findTrialServer(call);
+        Server server = trialServer == null ? pickByZone(call) : trialServer;
+        return server == null ? findEjectedFallback(call) : server;
     }
 
     /**
-     * Exception, asking: where probes are allowed and nodes outnumber servers, own requests in flight tell
-     * nothing: both servers drawn are probed, and the first to answer gets the request; if neither does
-     * soon, the draw decides as ever. Nor are cold servers asked, whose budget is spent by probes too.
+     * Extension (asking): if nodes outnumber servers, the requests of one node in flight say little about a
+     * server. Where probes are allowed, both sampled servers are probed and the first to respond gets the
+     * request; if neither responds soon, the usual choice decides. Servers in slow start aren't probed,
+     * because probes use up their budget too. Returns whether the request now waits for probe results.
      */
-    private boolean ask(Call call) {
-        double usual = latencyUs[call.request.classIndex()];
-        long waitUs = Math.max(3 * set.tickUs, (long) (ASK_FOR * usual));
-        if (!set.probes || set.nodes <= ready.length || usual == 0 || trial(call) != null
+    private boolean startedProbes(Call call) {
+        double meanUs = meanLatencyUs[call.request.classIndex()];
+        long waitUs = Math.max(3 * settings.tickUs, (long) (PROBE_WAIT_SHARE * meanUs));
+        if (!settings.probes || settings.nodes <= ready.length || meanUs == 0 || findTrialServer(call) != null
                 || call.aimAt - now < 2 * waitUs
-                || call.worth / usualWorth * lateShare * ASK_GAIN < 2 * set.probePrice) {
+                || call.worth / meanUtility * notOnTimeShare * PROBE_SAVED_SHARE < 2 * settings.probePrice) {
             return false;
         }
-        Server first = drawByZone(call);
-        Server second = first == null ? null : drawByZone(call);
+        Server first = pickByZone(call);
+        Server second = first == null ? null : pickByZone(call);
         if (second == null || second == first || first.inFlight != second.inFlight
-                || first.faults + second.faults > FAULTY || isCold(first) || isCold(second)) {
+                || first.faults + second.faults > PROBE_MAX_FAILURE_SHARE
+                || isInSlowStart(first) || isInSlowStart(second)) {
             return false;
         }
         call.asking = true;
         call.asksOut = 2;
         call.decideAt = now + waitUs;
-        asking.add(call);
+        awaitingProbes.add(call);
         probe(first, call);
         probe(second, call);
         return true;
     }
 
     private void probe(Server server, Call call) {
-        server.askers.removeIf(c -> !c.asking); // They must not pile up should the answer get lost.
+        server.askers.removeIf(c -> !c.asking); // They would pile up if a probe result got lost.
         server.askers.add(call);
         if (!server.asked) {
             server.asked = true;
-            out.probe(server.id);
+            actions.probe(server.id);
         }
     }
 
-    /** What no probe has answered in time goes by the draws. */
-    private void decideUnanswered() {
-        while (!asking.isEmpty() && (!asking.peek().asking || asking.peek().decideAt <= now)) {
-            Call call = asking.poll();
+    /** Sends or defers the requests whose probes have had no result in time. */
+    private void endExpiredProbeWaits() {
+        while (!awaitingProbes.isEmpty()
+                && (!awaitingProbes.peek().asking || awaitingProbes.peek().decideAt <= now)) {
+            Call call = awaitingProbes.poll();
             if (call.asking) {
                 call.asking = false;
-                place(call);
+                sendOrDefer(call);
             }
         }
     }
 
-    private Server drawByZone(Call call) {
-        Server server = drawTwo(call, nearby);
-        if (nearby == everywhere) {
+    private Server pickByZone(Call call) {
+        Server server = pickOfTwo(call, localZone);
+        if (localZone == allZones) {
             return server;
         }
-        // Exception, zones: where crossing costs, both draws are local, and two more from all win only if
-        // the local choice is crowded, fails, or has at least two requests more in flight.
-        if (server != null && server.inFlight < SPILL_AT && server.errors == 0) {
+        // Extension (zones): if crossing zones has a price, both samples are local. A pick from all zones
+        // wins only if the local one is at its limit, has more errors or 2 more requests in flight.
+        if (server != null && server.inFlight < SPILL_IN_FLIGHT && server.errors == 0) {
             return server;
         }
-        Server other = drawTwo(call, everywhere);
-        return server == null || other != null && (other.inFlight + SPILL_AT <= server.inFlight
+        Server other = pickOfTwo(call, allZones);
+        return server == null || other != null && (other.inFlight + SPILL_IN_FLIGHT <= server.inFlight
                 || other.errors < server.errors) ? other : server;
     }
 
-    private Server drawTwo(Call call, Pool from) {
-        Server first = draw(call, from, null);
-        Server second = first == null ? null : draw(call, from, first);
+    private Server pickOfTwo(Call call, Pool pool) {
+        Server first = sample(call, pool, null);
+        Server second = first == null ? null : sample(call, pool, first);
         if (second == null || first.inFlight < second.inFlight) {
             return first;
         }
         if (first.inFlight > second.inFlight) {
             return second;
         }
-        // Exception, ties: with little in flight a tie goes to the server that was quicker of late (i9ce813).
-        double difference = pace(first) - pace(second);
-        boolean toss = Math.abs(difference) < PACE_ALIKE;
-        return (toss ? random.nextInt(2) == 0 : difference > 0) ? second : first;
+        // Extension (ties): ties are common with few requests in flight; the recently faster server wins.
+        double difference = relativeLatency(first) - relativeLatency(second);
+        boolean isTie = Math.abs(difference) < RELATIVE_LATENCY_TIE;
+        return (isTie ? random.nextInt(2) == 0 : difference > 0) ? second : first;
     }
 
-    /** How long a server takes for what takes others 1, as far as this node knows; forgotten with time. */
-    private double pace(Server server) {
-        double forgetUs = PACE_KEPT * servedGapUs * Math.max(1, ready.length);
-        return 1 + (server.pace - 1) * Math.exp(-(now - server.paceAt) / forgetUs);
+    /** Returns the relative latency of a server (1 = as the mean of each class); it decays towards 1. */
+    private double relativeLatency(Server server) {
+        double decayUs = RELATIVE_LATENCY_DECAY_ROUNDS * servedGapUs * Math.max(1, ready.length);
+        return 1 + (server.pace - 1) * Math.exp(-(now - server.paceAt) / decayUs);
     }
 
-    private void learnPace(Server server, double ratio) {
-        double before = pace(server);
-        server.pace = before + PACE_GAIN * (ratio - before);
+    private void updateRelativeLatency(Server server, double sample) {
+        double previous = relativeLatency(server);
+        server.pace = previous + SERVER_SMOOTHING * (sample - previous);
         server.paceAt = now;
     }
 
-    /** One draw by weight among the servers that may be sent to, but for {@code except}, or null. */
-    private Server draw(Call call, Pool from, Server except) {
-        Server[] servers = from.servers;
+    /** Samples one server by weight among those that may be sent to, without {@code excluded}, or null. */
+    private Server sample(Call call, Pool pool, Server excluded) {
+        Server[] servers = pool.servers;
         if (weightsStale) {
-            weigh();
+            recomputeWeights();
         }
-        for (int i = 0; i <= REDRAWS && servers.length > 0; i++) {
-            Server server = servers[drawPosition(from)];
-            if (server != except && maySend(call, server)) {
+        for (int i = 0; i <= MAX_RESAMPLES && servers.length > 0; i++) {
+            Server server = servers[sampleIndex(pool)];
+            if (server != excluded && maySend(call, server)) {
                 return server;
             }
         }
-        // Most are full: one pass, each server taking over by its share of the weight so far.
-        Server drawn = null;
-        double total = 0;
+        // Most are at their limit: one pass, in which each server replaces the pick with the probability
+        // of its share of the weight so far.
+        Server picked = null;
+        double totalWeight = 0;
         for (Server server : servers) {
-            if (server != except && maySend(call, server)) {
-                total += weight(server);
-                drawn = random.nextDouble() * total < weight(server) ? server : drawn;
+            if (server != excluded && maySend(call, server)) {
+                totalWeight += weight(server);
+                picked = random.nextDouble() * totalWeight < weight(server) ? server : picked;
             }
         }
-        return drawn;
+        return picked;
     }
 
-    private int drawPosition(Pool from) {
-        int last = from.servers.length - 1;
-        int found = Arrays.binarySearch(from.weightsUpTo, random.nextDouble() * from.weightsUpTo[last]);
+    private int sampleIndex(Pool pool) {
+        int last = pool.servers.length - 1;
+        int found = Arrays.binarySearch(pool.weightSums, random.nextDouble() * pool.weightSums[last]);
         return Math.min(last, found < 0 ? -1 - found : found + 1);
     }
 
-    /** The paper's weights, worked out anew only when a count or the list has changed. */
-    private void weigh() {
-        int most = 0;
+    /** Recomputes the weights of the paper; needed only after a change of an error count or the list. */
+    private void recomputeWeights() {
+        int maxErrors = 0;
         for (Server server : ready) {
-            most = Math.max(most, server.errors);
+            maxErrors = Math.max(maxErrors, server.errors);
         }
-        largestEffect = Math.floor(Math.pow(1 + most, 1.5));
-        sumUp(everywhere);
-        sumUp(nearby);
+        maxErrorFactor = Math.floor(Math.pow(1 + maxErrors, 1.5));
+        accumulateWeights(allZones);
+        accumulateWeights(localZone);
         weightsStale = false;
     }
 
-    private void sumUp(Pool pool) {
+    private void accumulateWeights(Pool pool) {
         double sum = 0;
         for (int i = 0; i < pool.servers.length; i++) {
             sum += weight(pool.servers[i]);
-            pool.weightsUpTo[i] = sum;
+            pool.weightSums[i] = sum;
         }
     }
 
     /**
-     * The paper's weight. Exception, sizes: servers are not alike, so it counts for each part of a server's
-     * size by the list; where all sizes are the same, nothing changes.
+     * The weight of the paper. Extension (sizes): servers differ, so the weight is multiplied by the listed
+     * size of the server; with equal sizes this changes nothing.
      */
     private double weight(Server server) {
-        return server.size * Math.ceil(largestEffect / (1 + server.errors));
+        return server.size * Math.ceil(maxErrorFactor / (1 + server.errors));
     }
 
-    /** A failed request goes to the next server in list order, or waits, or has its final answer. */
-    private void passOn(Call call, Server failed) {
-        if (!mayTryAgain(call)) {
-            giveUp(call);
+    /** Fails over to the next server in list order, or defers the request, or ends it. */
+    private void failOver(Call call, Server failedServer) {
+        if (!mayAttempt(call)) {
+            endUnserved(call);
             return;
         }
         List<Server> tried = Arrays.asList(call.servers);
         for (int pass = 0; pass < 2; pass++) {
             for (int i = 1; i <= ready.length; i++) {
-                Server next = ready[(failed.position + i) % ready.length];
-                // Exception: where crossing costs, own-zone servers that have not failed last come first.
-                boolean first = next.errors == 0 && (nearby == everywhere || isLocal(next));
-                if ((first || pass > 0) && !tried.contains(next) && maySend(call, next)) {
+                Server next = ready[(failedServer.position + i) % ready.length];
+                // Extension (zones): if crossing has a price, local servers without errors come first.
+                boolean preferred = next.errors == 0 && (localZone == allZones || isLocal(next));
+                if ((preferred || pass > 0) && !tried.contains(next) && maySend(call, next)) {
                     send(call, next);
                     return;
                 }
@@ -831,145 +848,153 @@
 
     // ---------------------------------------------------------------- the deferred queue
 
-    /** Puts a request into the deferred queue: first come first served among those of equal value. */
+    /** Adds a request to the deferred queue: by priority, first come first served among equals. */
     private void defer(Call call) {
         call.waiting = true;
-        int at = waiting.size();
-        while (at > 0 && BY_VALUE.compare(waiting.get(at - 1), call) > 0) {
-            at--;
+        int index = deferredQueue.size();
+        while (index > 0 && BY_PRIORITY.compare(deferredQueue.get(index - 1), call) > 0) {
+            index--;
         }
-        waiting.add(at, call);
+        deferredQueue.add(index, call);
     }
 
     /**
-     * Sends what waits as far as servers allow and ends what has run out of time. Exception, deferral: what
-     * no server has seen by half of its time is refused then, while its client may still ask elsewhere.
+     * Sends deferred requests as far as the servers have capacity and ends those without enough time left.
+     * Extension (deferral): a request that no server has seen after half of its time is refused, while its
+     * client can still try another node.
      */
-    private void serveWaiting() {
-        if (waiting.isEmpty()) {
+    private void serveDeferred() {
+        if (deferredQueue.isEmpty()) {
             return;
         }
-        int kept = 0;
-        boolean[] full = new boolean[set.classes.size()];
-        boolean unsorted = false;
-        for (int i = 0; i < waiting.size(); i++) {
-            Call call = waiting.get(i);
+        int keptCount = 0;
+        boolean[] noServerForClass = new boolean[settings.classes.size()];
+        boolean needsSort = false;
+        for (int i = 0; i < deferredQueue.size(); i++) {
+            Call call = deferredQueue.get(i);
             if (!call.waiting) {
                 continue;
             }
-            boolean late = call.aimAt - now < Math.min(MOST_LATE_AT * (call.aimAt - call.arrivedAt),
-                    TOO_LATE_AT * latencyUs[call.request.classIndex()]);
-            if (call.deadlineAt - now <= sweepUs + set.tickUs || late && call.cls.lateWorth() == 0
-                    || call.binding() < 0 && now + sweepUs >= call.refuseAt || !mayTryAgain(call)) {
+            boolean expectedLate = call.aimAt - now < Math.min(LATE_MAX_SHARE * (call.aimAt - call.arrivedAt),
+                    LATE_MEAN_LATENCIES * meanLatencyUs[call.request.classIndex()]);
+            if (call.deadlineAt - now <= queueScanUs + settings.tickUs
+                    || expectedLate && call.cls.lateWorth() == 0
+                    || call.binding() < 0 && now + queueScanUs >= call.refuseAt || !mayAttempt(call)) {
                 call.waiting = false;
-                giveUp(call);
+                endUnserved(call);
                 continue;
             }
-            if (late && !call.late) {
+            if (expectedLate && !call.late) {
                 call.late = true;
                 call.value *= call.cls.lateWorth();
-                unsorted = true;
-                waiting.set(kept++, call);
+                needsSort = true;
+                deferredQueue.set(keptCount++, call);
                 continue;
             }
-            int c = call.request.classIndex();
-            Server server = full[c] ? null : drawForFirstTry(call);
+            int classIndex = call.request.classIndex();
+            Server server = noServerForClass[classIndex] ? null : pickServer(call);
             if (server != null) {
                 call.waiting = false;
                 send(call, server);
             } else {
-                // What has not been sent may go wherever its class may: if it finds no server, nor does
-                // the next one.
-                full[c] |= call.attempts == 0;
-                waiting.set(kept++, call);
+                // A request without attempts may go to any server that its class may use: if it finds none,
+                // nor does the next one of its class.
+                noServerForClass[classIndex] |= call.attempts == 0;
+                deferredQueue.set(keptCount++, call);
             }
         }
-        waiting.subList(kept, waiting.size()).clear();
-        if (unsorted) {
-            waiting.sort(BY_VALUE);
+        deferredQueue.subList(keptCount, deferredQueue.size()).clear();
+        if (needsSort) {
+            deferredQueue.sort(BY_PRIORITY);
         }
     }
 
     /**
-     * What a request earns for the work it takes, by which the queue is ordered: its class's worth, less
-     * if its tenant is beyond this node's part of its share, over the usual latency of its class as the
-     * measure of work.
+     * Returns the queue priority, the utility of a request per expected work: the utility of its class,
+     * reduced if its tenant exceeds this node's part of the quota, divided by the mean latency of the class
+     * as the measure of work. Uses up quota of the tenant.
      */
-    private double value(Call call) {
-        double worth = call.cls.worth();
+    private double queuePriority(Call call) {
+        double utility = call.cls.worth();
         int tenant = call.request.tenant();
-        double quota = tenant < 0 ? 0 : set.tenants.get(tenant).quotaPerS() / set.nodes;
-        if (quota > 0) {
-            double most = Math.max(1, quota * SHARE_BURST_S);
-            double since = shareSeenAt[tenant] == 0 ? SHARE_BURST_S : (now - shareSeenAt[tenant]) / 1e6;
-            shareSeenAt[tenant] = now;
-            shareLeft[tenant] = Math.min(most, shareLeft[tenant] + quota * since);
-            if (shareLeft[tenant] >= 1) {
-                shareLeft[tenant]--;
+        double nodeQuotaPerS = tenant < 0 ? 0 : settings.tenants.get(tenant).quotaPerS() / settings.nodes;
+        if (nodeQuotaPerS > 0) {
+            double maxTokens = Math.max(1, nodeQuotaPerS * QUOTA_BURST_S);
+            double refillS = quotaUsedAt[tenant] == 0 ? QUOTA_BURST_S : (now - quotaUsedAt[tenant]) / 1e6;
+            quotaUsedAt[tenant] = now;
+            quotaTokens[tenant] = Math.min(maxTokens, quotaTokens[tenant] + nodeQuotaPerS * refillS);
+            if (quotaTokens[tenant] >= 1) {
+                quotaTokens[tenant]--;
             } else {
-                worth *= set.overShareWorth;
+                utility *= settings.overShareWorth;
             }
         }
-        call.worth = worth;
-        usualWorth += meanGain(++valued) * (worth - usualWorth);
-        return set.worthByWork ? worth : worth / Math.max(1, latencyUs[call.request.classIndex()]);
+        call.worth = utility;
+        meanUtility += smoothing(++utilitySamples) * (utility - meanUtility);
+        return settings.worthByWork ? utility
+                : utility / Math.max(1, meanLatencyUs[call.request.classIndex()]);
     }
 
     // ---------------------------------------------------------------- concurrency limits
 
     /**
-     * Exception, concurrency limits: each server's limit grows when it was met while a request was out
-     * that was answered well inside the aim, and falls when answers are slow or requests are turned away.
-     * Acts only when a draw would exceed a server's limit, or the node the sum of all limits (with many
-     * nodes a server's part is under one).
+     * Extension (concurrency limits): the limit of a server grows with a response well within the latency
+     * target if the limit was reached while that request was in flight. It shrinks with slow responses and
+     * timeouts. It matters only if a pick would exceed the limit of the server, or the node the sum of all
+     * limits (with many nodes, the part of each in the limit of a server is below one).
      */
     private void adaptLimit(Call call, int attempt, Outcome outcome) {
         Server server = call.servers[attempt];
-        double before = server.limit;
+        double previousLimit = server.limit;
         if (outcome.result() == Result.OK) {
-            int c = call.request.classIndex();
-            // By the stall alone: of the answers of a node that is behind only the slow ones are surely slow.
-            latencyUs[c] += outcome.stallUs() > sweepUs ? 0
-                    : meanGain(++answers[c]) * (outcome.servedUs() - latencyUs[c]);
-            // The first answers' mean is chance; until then the aim alone tells.
-            leastLatencyUs[c] = answers[c] * MEAN_GAIN < 0.5 ? Double.MAX_VALUE
-                    : Math.min(leastLatencyUs[c] * LEAST_DRIFT, latencyUs[c]);
-            double crowded = Math.min(CROWDED_AT * call.aimUs, CROWDED_BY * leastLatencyUs[c]);
-            servedGapUs += meanGain(++servedCount) * (now - lastServedAt - servedGapUs);
+            int classIndex = call.request.classIndex();
+            // Skips all responses under event-loop lag: keeping only the clearly slow ones biases the mean.
+            meanLatencyUs[classIndex] += outcome.stallUs() > queueScanUs ? 0
+                    : smoothing(++latencySamples[classIndex])
+                            * (outcome.servedUs() - meanLatencyUs[classIndex]);
+            // The mean of a few responses is random; until there are more, only the latency target counts.
+            minMeanLatencyUs[classIndex] = latencySamples[classIndex] * MEAN_SMOOTHING < 0.5
+                    ? Double.MAX_VALUE
+                    : Math.min(minMeanLatencyUs[classIndex] * MIN_LATENCY_DRIFT, meanLatencyUs[classIndex]);
+            double slowFromUs = Math.min(SLOW_TARGET_SHARE * call.aimUs,
+                    SLOW_LATENCY_FACTOR * minMeanLatencyUs[classIndex]);
+            servedGapUs += smoothing(++servedCount) * (now - lastServedAt - servedGapUs);
             lastServedAt = now;
-            if (outcome.servedUs() <= crowded) {
-                // A cold server gets little and is quick with it: were its limit to pass the others', all
-                // nodes together would choke it as soon as slow start lets go (i3a094a).
+            if (outcome.servedUs() <= slowFromUs) {
+                // A server in slow start gets few requests and responds fast: with a limit above the others',
+                // all nodes together would overload it as soon as slow start ends.
                 server.limit += server.wantedAt >= call.sentAt[attempt]
-                        && (!isCold(server) || server.limit * ready.length < limits) ? limitStep : 0;
+                        && (!isInSlowStart(server) || server.limit * ready.length < limitSum)
+                        ? limitIncrease : 0;
             } else {
-                cutLimit(call, attempt, limitCut);
+                decreaseLimit(call, attempt, limitDecrease);
             }
         } else if (outcome.result() == Result.TIMEOUT) {
-            cutLimit(call, attempt, LIMIT_HARD_CUT);
+            decreaseLimit(call, attempt, LIMIT_TIMEOUT_DECREASE);
         }
-        if (isCounted(server)) {
-            limits += server.limit - before;
+        if (isInUse(server)) {
+            limitSum += server.limit - previousLimit;
         }
     }
 
-    /** One cut for all that was sent before the last one. */
-    private void cutLimit(Call call, int attempt, double cut) {
+    /** Lowers the limit of a server, only once for all attempts sent before the last decrease. */
+    private void decreaseLimit(Call call, int attempt, double decrease) {
         Server server = call.servers[attempt];
         if (call.sentAt[attempt] >= server.limitCutAt) {
-            server.limit = Math.max(1.0 / set.nodes, server.limit * (1 - cut));
+            server.limit = Math.max(1.0 / settings.nodes, server.limit * (1 - decrease));
             server.limitCutAt = now;
         }
     }
 
-    private boolean isCrowded(Server server) {
+    /** Whether an attempt at a server would be throttled or exceed a limit; records a reached limit. */
+    private boolean isOverLimit(Server server) {
         if (isThrottled()) {
             return true;
         }
-        // The sum guards against a stall, when all that nodes may have at servers is out at once. A burst's
-        // room shrinks with health, none at half: a fleet in overload tips over by bursts (i6d5d9b).
-        double burst = BURST * Math.max(0, 2 * health - 1) * Math.sqrt(limits);
-        if (isAtLimit(server) || inFlight > 0 && inFlight + 1 > limits + burst) {
+        // The sum guards against a pause, when all that the limits allow is in flight at once. The allowance
+        // shrinks with the on-time ratio, to 0 at a half: bursts make an overloaded fleet collapse.
+        double burstAllowance = LIMIT_SUM_BURST * Math.max(0, 2 * onTimeRatio - 1) * Math.sqrt(limitSum);
+        if (isAtLimit(server) || totalInFlight > 0 && totalInFlight + 1 > limitSum + burstAllowance) {
             server.wantedAt = now;
             return true;
         }
@@ -977,17 +1002,17 @@
     }
 
     /**
-     * Exception, throttling: once under {@link #THROTTLE_BELOW} of attempts are answered in time, a node
-     * sends {@link #THROTTLE} times what is, and a little to see whether that still holds: a fleet that has
-     * turned slow under its load recovers only if nearly nothing comes (i6d5d9b, ia25714).
+     * Extension (throttling): while the on-time ratio is below {@link #THROTTLE_BELOW_RATIO}, a node sends
+     * {@link #THROTTLE_TOKENS_ON_TIME} attempts for each on-time response, and a few more to notice a
+     * recovery: servers slowed down by overload recover only if they get almost no load.
      */
     private boolean isThrottled() {
-        return health < THROTTLE_BELOW && sendTokens < 1;
+        return onTimeRatio < THROTTLE_BELOW_RATIO && sendTokens < 1;
     }
 
-    private void learnHealth(double earned) {
-        health += HEALTH_GAIN * (earned - health);
-        sendTokens = Math.min(MOST_TOKENS, sendTokens + (earned == 1 ? THROTTLE : 0));
+    private void updateOnTimeRatio(double sample) {
+        onTimeRatio += ON_TIME_SMOOTHING * (sample - onTimeRatio);
+        sendTokens = Math.min(MAX_SEND_TOKENS, sendTokens + (sample == 1 ? THROTTLE_TOKENS_ON_TIME : 0));
     }
 
     private boolean isAtLimit(Server server) {
@@ -997,8 +1022,8 @@
     // ---------------------------------------------------------------- sending
 
     private void send(Call call, Server server) {
-        // Before this attempt counts: the window runs from an earlier one.
-        long sendBy = call.repeatableUntil();
+        // Read before this attempt counts, because the window starts with an earlier one.
+        long sendByUs = call.repeatableUntil();
         int attempt = call.attempts++;
         sendTokens = Math.max(0, sendTokens - 1);
         call.servers[attempt] = server;
@@ -1006,131 +1031,137 @@
         call.outstanding++;
         server.inFlight++;
         if (server.zone >= 0) {
-            lastSentAt[server.zone] = now;
-            unheardSince[server.zone] = unheardSince[server.zone] == 0 ? now : unheardSince[server.zone];
+            zoneLastSentAt[server.zone] = now;
+            zoneUnansweredSince[server.zone] = zoneUnansweredSince[server.zone] == 0
+                    ? now : zoneUnansweredSince[server.zone];
         }
-        inFlight += isCounted(server) ? 1 : 0;
+        totalInFlight += isInUse(server) ? 1 : 0;
         lastServedAt = lastServedAt == 0 ? now : lastServedAt;
-        if (isCold(server)) {
+        if (isInSlowStart(server)) {
             server.coldSentAt = now;
             server.coldPhase = 1;
         }
-        long end = attemptEnd(call);
+        long untilUs = attemptDeadline(call);
         if (server.misses[call.request.classIndex()] > 0) {
-            keepOut(server, call.request.classIndex());
-            end = Math.min(end, doubtfulEnd(call));
+            ejectForClass(server, call.request.classIndex());
+            untilUs = Math.min(untilUs, suspectClassDeadline(call));
         }
-        out.send(call.request.id(), server.id, end, sendBy);
+        actions.send(call.request.id(), server.id, untilUs, sendByUs);
     }
 
-    /** Exception, time-out at the aim: where a later answer earns nothing, it only keeps its server busy. */
-    private long attemptEnd(Call call) {
-        return call.cls.lateWorth() > 0 || clientRepeats(call.cls) || call.cls.stream()
+    /** Extension (time-out at the aim): an attempt ends once its response would earn nothing any more. */
+    private long attemptDeadline(Call call) {
+        return call.cls.lateWorth() > 0 || clientRetriesFailures(call.cls) || call.cls.stream()
                 ? call.deadlineAt : call.aimAt;
     }
 
-    /** Where a class has just failed, time is left for another server to repeat what can be repeated. */
-    private long doubtfulEnd(Call call) {
-        long half = (call.aimAt - now) / 2;
-        return call.cls.repeat() == Repeat.UNSAFE || half <= 0 ? Long.MAX_VALUE
-                : now + Math.max(half, (long) (TOO_LATE_AT * latencyUs[call.request.classIndex()]));
+    /** Bounds an attempt at a server that just failed its class, to leave time for a retry elsewhere. */
+    private long suspectClassDeadline(Call call) {
+        long halfLeftUs = (call.aimAt - now) / 2;
+        return call.cls.repeat() == Repeat.UNSAFE || halfLeftUs <= 0 ? Long.MAX_VALUE
+                : now + Math.max(halfLeftUs,
+                        (long) (LATE_MEAN_LATENCIES * meanLatencyUs[call.request.classIndex()]));
     }
 
-    /** Whether clients come back after a failure too, and not only when told that it does no harm. */
-    private static boolean clientRepeats(RequestClass cls) {
+    /** Whether clients also retry after a failure, and not only after a refusal. */
+    private static boolean clientRetriesFailures(RequestClass cls) {
         return cls.repeat() == Repeat.SAFE || cls.repeat() == Repeat.KEYED && cls.group() == Group.ALL;
     }
 
-    // ---------------------------------------------------------------- the four rules
+    // ---------------------------------------------------------------- final responses and permitted attempts
 
-    /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
-    private void giveUp(Call call) {
-        boolean harmless = switch (call.cls.repeat()) {
+    /** Ends a request without a response from a server: refuses it if a retry has no second effect. */
+    private void endUnserved(Call call) {
+        boolean retryIsHarmless = switch (call.cls.repeat()) {
             case SAFE -> true;
             case KEYED -> call.binding() < 0 || call.cls.group() == Group.ALL;
             case UNSAFE -> call.binding() < 0;
         };
-        // A refusal calls back a client who would let a failure be; past the aim that is work for nothing.
-        if (harmless && (clientRepeats(call.cls) || !isWorthless(call))) {
-            out.refuse(call.request.id(), retryAfterUs());
+        // A refusal makes clients retry that wouldn't retry a failure; without utility that is wasted work.
+        if (retryIsHarmless && (clientRetriesFailures(call.cls) || !hasNoUtilityLeft(call))) {
+            actions.refuse(call.request.id(), retryAfterUs());
         } else {
-            out.fail(call.request.id());
+            actions.fail(call.request.id());
         }
-        end(call);
+        finish(call);
     }
 
-    /** When to come back: what waits here, and one more, will have been answered by then. */
+    /** Returns the time in which the deferred requests and one more should be served, up to the maximum. */
     private long retryAfterUs() {
-        return (long) Math.min(set.maxRetryAfterUs, (waiting.size() + 1) * answerGapUs());
+        return (long) Math.min(settings.maxRetryAfterUs, (deferredQueue.size() + 1) * expectedServedGapUs());
     }
 
-    /** Time between two answers to this node, longer as soon as none comes. */
-    private double answerGapUs() {
-        return Math.max(servedGapUs, MEAN_GAIN * (now - lastServedAt));
+    /** Returns the mean time between served attempts, or a longer one once none has been served for long. */
+    private double expectedServedGapUs() {
+        return Math.max(servedGapUs, MEAN_SMOOTHING * (now - lastServedAt));
     }
 
-    private void end(Call call) {
+    private void finish(Call call) {
         call.ended = true;
         call.waiting = false;
         call.asking = false;
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancel; i++) {
+        for (int i = 0; i < call.attempts && call.outstanding > 0 && settings.cancel; i++) {
             if (call.results[i] == null) {
-                out.cancel(call.request.id(), i);
+                actions.cancel(call.request.id(), i);
             }
         }
-        forgetIfOver(call);
+        removeIfFinished(call);
     }
 
-    private void forgetIfOver(Call call) {
+    private void removeIfFinished(Call call) {
         if (call.ended && call.outstanding == 0) {
             calls.remove(call.request.id());
         }
     }
 
-    /** Rule 2: whether any further attempt could be lawful, wherever it goes. */
-    private boolean mayTryAgain(Call call) {
-        return call.attempts < set.maxAttempts && now < call.deadlineAt && !call.streaming
-                && !isWorthless(call) && now <= call.repeatableUntil();
+    /** Whether another attempt is permitted and useful, at whichever server. */
+    private boolean mayAttempt(Call call) {
+        return call.attempts < settings.maxAttempts && now < call.deadlineAt && !call.streaming
+                && !hasNoUtilityLeft(call) && now <= call.repeatableUntil();
     }
 
-    /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
+    /** Whether a server may get the next attempt: not ejected, silent or at its limit, and permitted. */
     private boolean maySend(Call call, Server server) {
         return !server.ejected && now >= server.outUntil[call.request.classIndex()]
-                && !isSilent(server, latencyUs[call.request.classIndex()])
-                && !hasJustTried(call, server) && !isCrowded(server) && isAllowed(call, server);
+                && !isZoneSilent(server, meanLatencyUs[call.request.classIndex()])
+                && !hasJustTried(call, server) && !isOverLimit(server) && isAllowed(call, server);
     }
 
     /**
-     * Exception, silent zones: a zone cut off answers nothing, and each of its servers would cost each node a
-     * time-out. Once nothing has come from another zone for {@link #SILENT_FOR} usual latencies since it was
-     * sent to, it gets single requests, each after as long again, until something comes.
+     * Extension (silent zones): a partitioned zone doesn't respond, and each of its servers would cost each
+     * node a timeout. If another zone hasn't responded for {@link #ZONE_SILENT_LATENCIES} mean latencies
+     * since the first unanswered send, it gets single requests, at intervals that double up to a bound,
+     * until it responds.
      */
-    private boolean isSilent(Server server, double usualUs) {
-        if (server.zone < 0 || isLocal(server) || unheardSince[server.zone] == 0) {
+    private boolean isZoneSilent(Server server, double meanUs) {
+        if (server.zone < 0 || isLocal(server) || zoneUnansweredSince[server.zone] == 0) {
             return false;
         }
-        long since = unheardSince[server.zone];
-        return now - since > SILENT_FOR * usualUs
-                && now - lastSentAt[server.zone] < Math.min(MOST_EJECT_US, lastSentAt[server.zone] - since);
+        long unansweredSince = zoneUnansweredSince[server.zone];
+        return now - unansweredSince > ZONE_SILENT_LATENCIES * meanUs
+                && now - zoneLastSentAt[server.zone]
+                        < Math.min(MAX_EJECT_US, zoneLastSentAt[server.zone] - unansweredSince);
     }
 
     private boolean isLocal(Server server) {
-        return server.zone == set.myZone;
+        return server.zone == settings.myZone;
     }
 
-    /** Whether the request failed there so quickly that it would only use up its attempts at once. */
+    /** Whether the request went there less than a mean latency ago: quick failures use up its attempts. */
     private boolean hasJustTried(Call call, Server server) {
         for (int i = 0; i < call.attempts; i++) {
-            if (call.servers[i] == server && now < call.sentAt[i] + latencyUs[call.request.classIndex()]) {
+            if (call.servers[i] == server
+                    && now < call.sentAt[i] + meanLatencyUs[call.request.classIndex()]) {
                 return true;
             }
         }
         return false;
     }
 
+    /** Whether the server list, the slow start budget and the group of a keyed request permit a send. */
     private boolean isAllowed(Call call, Server server) {
         if (server.state != ServerState.READY
-                || isCold(server) && now < server.coldSentAt + coldGap(server)) {
+                || isInSlowStart(server) && now < server.coldSentAt + slowStartGapUs(server)) {
             return false;
         }
         int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
@@ -1141,24 +1172,25 @@
         };
     }
 
-    private boolean isCold(Server server) {
-        return server.startedAt > 0 && now < server.startedAt + set.coldUs;
+    private boolean isInSlowStart(Server server) {
+        return server.startedAt > 0 && now < server.startedAt + settings.coldUs;
     }
 
     /**
-     * Exception, slow start (rule 4): the unit is a cold server's part, by nominal sizes, of what this node
-     * gets answered (of what arrives clients' retries make too much in a jam), times the share of its
-     * capacity that it has at least. By the weights of the moment an empty server's part would be some times
-     * too large. All nodes together may send so many units as the rule's multiple; each spends
-     * {@link #COLD_SPEND} of that, evenly spaced, the first after a random part of the space.
+     * Extension (slow start): returns the least time between two sends to a server in slow start. One unit is
+     * the server's part, by nominal sizes, of the attempts served to this node, times the share of its
+     * capacity that it has by now. Arriving requests are no measure, as retries multiply them under
+     * congestion; nor are current weights, which are several times too large for an idle server. All nodes
+     * together may send {@link Settings#fallMultiple} units; each uses {@link #SLOW_START_BUDGET_SHARE} of
+     * that, evenly spaced, the first after a random part of the interval.
      */
-    private long coldGap(Server server) {
-        double age = Math.max(0, now - server.startedAt) / (double) set.coldUs;
-        double share = set.coldFrom + (1 - set.coldFrom) * Math.min(1, age);
-        // A node that has just started has seen the weights of this moment only.
-        double part = Math.min(server.nominal / Math.max(server.nominal, totalNominal),
-                MOST_PART / Math.max(1, ready.length));
-        double units = Math.max(1, COLD_SPEND * set.fallMultiple);
-        return (long) (server.coldPhase * answerGapUs() / (part * share * units));
+    private long slowStartGapUs(Server server) {
+        double progress = Math.max(0, now - server.startedAt) / (double) settings.coldUs;
+        double capacityShare = settings.coldFrom + (1 - settings.coldFrom) * Math.min(1, progress);
+        // A node that has just started has seen only current weights, which may be lowered by load.
+        double sizeShare = Math.min(server.nominal / Math.max(server.nominal, totalNominalSize),
+                MAX_SIZE_RATIO / Math.max(1, ready.length));
+        double budgetUnits = Math.max(1, SLOW_START_BUDGET_SHARE * settings.fallMultiple);
+        return (long) (server.coldPhase * expectedServedGapUs() / (sizeShare * capacityShare * budgetUnits));
     }
 }
