--- a/src/main/java/cedarrelay/ServiceQBalancer.java
+++ b/src/main/java/cedarrelay/ServiceQBalancer.java
@@ -21,7 +21,7 @@
  */
 public final class ServiceQBalancer implements Balancer {
 
-    /** Samples repeated because the sampled server may not be sent to, before all servers are scanned. */
+    /** How often a sample is repeated if its server may not be sent to, before all servers are scanned. */
     private static final int MAX_RESAMPLES = 3;
     /** Exponent that damps weights lowered with load, because all nodes see the same weights, late. */
     private static final double LOAD_WEIGHT_EXPONENT = 0.3;
@@ -77,7 +77,7 @@
     private static final double LIMIT_SUM_BURST = 2.5;
     /** Growth of the lowest mean latency with each response, so that it follows a change of the work. */
     private static final double MIN_LATENCY_DRIFT = 1.0001;
-    /** Exponent of the node count that speeds up limits: at 0 many nodes adapt too slowly, 0.5 congests. */
+    /** Exponent of the node count in limit changes: at 0 many nodes adapt too slowly, at 0.5 they congest. */
     private static final double LIMIT_NODES_EXPONENT = 0.25;
     /** Relative decrease of a limit after a timeout, a stronger sign of overload than a slow response. */
     private static final double LIMIT_TIMEOUT_DECREASE = 0.3;
@@ -188,7 +188,7 @@
         actions = nodeActions;
         random = new SplittableRandom(seed);
         queueScanUs = Math.max(MIN_QUEUE_SCAN_US, 2 * nodeSettings.tickUs);
-        // Both change by the same factor, which keeps their balance over all nodes.
+        // Both are scaled by the same factor, to keep their balance over all nodes.
         double adjustment = Math.pow(settings.nodes, LIMIT_NODES_EXPONENT);
         limitIncrease = LIMIT_INCREASE / adjustment;
         limitDecrease = 1 - Math.pow(1 - LIMIT_DECREASE, adjustment);
