--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -42,37 +42,37 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * The node between its sockets and the decision module, which it alone calls: it holds the requests and
- * their attempts, keeps the clock and the timers, and turns what comes back into outcomes. It decides
- * nothing. All of it runs on one event loop.
+ * Connects the sockets of a node with its decision module, of which it is the only caller. It keeps the
+ * pending requests and their attempts, provides the clock and the timers, and reports what happens on the
+ * connections as outcomes. It makes no load-balancing decisions. All methods run on one event loop.
  */
 final class Node implements Balancer.Actions, Discovery.Listener {
     private static final Logger LOG = System.getLogger(Node.class.getName());
 
-    /** The module's deadline lies so far before the client's, or this part of the time left if that is
-     * less: the answer's way, timers, and a processor that is busy just after a start. */
-    private static final long ANSWER_MARGIN_US = 25_000;
-    private static final int ANSWER_MARGIN_PART = 8;
-    /** What has waited for so long is sent on only if its client is still there. */
-    private static final long WAITED_NS = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final long PROBE_US = 250_000;
-    /** A pushed list costs nothing to ask for, and what changes meanwhile counts as told. */
-    private static final long WATCH_AGAIN_MS = 50;
-    /** Connections come for up to 0.4 s after the word to stop, and their requests just after. */
+    /** The decision module's deadline is this much before the client's, or this fraction of the time left if
+     * that is less: time for the response to travel, timer delays, and a busy processor after a start. */
+    private static final long RESPONSE_MARGIN_US = 25_000;
+    private static final int RESPONSE_MARGIN_DIVISOR = 8;
+    /** Before a request that has waited this long is sent, its client's connection is checked. */
+    private static final long CLIENT_CHECK_AFTER_NS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long PROBE_TIMEOUT_US = 250_000;
+    /** Short, because calls for a pushed list are free and changes during the gap count as notified. */
+    private static final long WATCH_RETRY_DELAY_MS = 50;
+    /** New connections arrive for up to 0.4 s after the signal to stop, and their requests shortly after. */
     private static final long ACCEPT_WHILE_STOPPING_MS = 600;
-    private static final long DONE_CHECK_MS = 10;
-    /** For connections that came last, answers that have to be read, and a loop that is behind. */
-    private static final long STOP_SLACK_MS = 5_000;
-    /** Some seconds of requests at a node that is busy, far longer than a copy takes to come. */
-    private static final int MOST_OVER = 4_096;
-    /** How long the process may be held up between its clock and its write. */
-    private static final long HELD_UP_US = 150_000;
-    /** So many servers that leave are named in a line of the log. */
-    private static final int NAMED_SERVERS = 12;
-    /** From this on a time between decision and send, or a lag, is worth a line of the log. */
-    private static final long NOTABLE_MS = 100;
-    /** A rehearsal cut short is better than a node that stays away: a slow machine gets this far. */
-    private static final long REHEARSE_MS = 1_500;
+    private static final long STOP_POLL_INTERVAL_MS = 10;
+    /** Allows for the connections accepted last, responses still to be read, and event-loop lag. */
+    private static final long STOP_MARGIN_MS = 5_000;
+    /** A few seconds of requests at a busy node, far longer than a duplicate takes to arrive. */
+    private static final int MAX_FINISHED_IDS = 4_096;
+    /** Tolerated pause of the process between reading its clock and the write. */
+    private static final long PAUSE_TOLERANCE_US = 150_000;
+    /** Maximum number of draining or removed servers named in one log line. */
+    private static final int MAX_LOGGED_SERVERS = 12;
+    /** A new maximum of the send delay or of the event-loop lag is logged from this value on. */
+    private static final long LOGGED_DELAY_MS = 100;
+    /** On a slow machine an incomplete warm-up is better than a node that stays unavailable. */
+    private static final long MAX_WARM_UP_MS = 1_500;
 
     private final Config config;
     private final EventLoop loop;
@@ -81,230 +81,247 @@
     private final ServerPool pool;
     private final MembershipGate gate;
     private final Discovery discovery;
-    private final ClientServer clients;
-    private final Stall stall;
+    private final ClientServer clientServer;
+    private final Stall loopLag;
     private final Metrics metrics = new Metrics();
     private final long startedNs = System.nanoTime();
-    private final long originNs = System.nanoTime();
-    /** The clock starts at Unix time and then only follows the monotonic one, so that a list's boot times
-     * always convert to the same value: a second one would look like a second start. */
-    private final long originUs = 1_000 * System.currentTimeMillis();
-    private final Map<Long, Held> held = new HashMap<>();
-    /** Ids of requests that are over and that servers may have run, newest last: one that comes again, as a
-     * copy that the answer crossed, is no new request. */
-    private final Set<Long> over = Collections.newSetFromMap(new LinkedHashMap<>() {
+    private final long clockOriginNs = System.nanoTime();
+    /** Unix time at the start. The clock then follows the monotonic clock only, so that a server's boot time
+     * always converts to the same value: a different one would look like a restart. */
+    private final long clockOriginUs = 1_000 * System.currentTimeMillis();
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    /** Ids of finished requests that servers may have executed, newest last. A duplicate that races with the
+     * response is recognized by its id and not executed as a new request. */
+    private final Set<Long> finishedIds = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > MOST_OVER;
+            return size() > MAX_FINISHED_IDS;
         }
     });
-    private final Map<String, Integer> zones = new HashMap<>();
-    private final Deque<Event> events = new ArrayDeque<>();
-    private boolean inCall;
-    private boolean rehearsing;
-    private boolean rehearsalOver;
+    private final Map<String, Integer> zoneIndexes = new HashMap<>();
+    private final Deque<BalancerCall> queuedCalls = new ArrayDeque<>();
+    private boolean inBalancerCall;
+    private boolean isWarmUpNode;
+    private boolean warmUpDone;
     private boolean listInUse;
     private boolean watchFailing;
-    private long listVersion;
-    private Runnable sayReady;
-    private ScheduledFuture<?> wake;
+    private long listRevision;
+    private Runnable onReady;
+    private ScheduledFuture<?> wakeTimer;
 
-    /** A call of the module that is due, and the request that it touches, if any. */
-    private record Event(Held touches, Runnable call) { }
+    /** A queued call of the decision module, and the request it concerns, or null. */
+    private record BalancerCall(PendingRequest request, Runnable action) { }
 
-    /** A request taken, until it is answered and no attempt is out. */
-    private final class Held {
+    /** A request from its arrival until it has its response and none of its attempts is open. */
+    private final class PendingRequest {
         private final Exchange exchange;
         private final long id;
         private final long deadlineUs;
-        private final List<Sent> sent = new ArrayList<>(2);
-        private ScheduledFuture<?> guard;
-        private int out;
-        private boolean over;
+        private final List<PendingAttempt> attempts = new ArrayList<>(2);
+        private ScheduledFuture<?> deadlineTimer;
+        private int openAttempts;
+        private boolean finished;
 
-        Held(Exchange exchange, long deadlineUs) {
+        PendingRequest(Exchange exchange, long deadlineUs) {
             this.exchange = exchange;
             this.id = exchange.request().id();
             this.deadlineUs = deadlineUs;
         }
 
-        /** Whether its client is still there: looked up for what has waited, since the loop may be behind. */
-        boolean isAwaited() {
-            if (!over && System.nanoTime() - exchange.arrivedNs() > WAITED_NS && !exchange.isAwaited()) {
-                // The connection itself tells of it only in a later task.
-                end();
+        /**
+         * Whether the client still waits for the response. Once the request has waited for a while, this
+         * checks the connection itself, since a lagging event loop may not have processed the disconnect
+         * yet; if the client has disconnected, the request ends.
+         */
+        boolean isClientWaiting() {
+            if (!finished && System.nanoTime() - exchange.arrivedNs() > CLIENT_CHECK_AFTER_NS
+                    && !exchange.isAwaited()) {
+                // The connection reports its end only in a later task of the event loop.
+                finish();
             }
-            return !over;
+            return !finished;
         }
 
-        /** Nothing is owed any more; what waits for a connection must not be sent. */
-        void end() {
-            over = true;
-            guard.cancel(false);
-            for (Sent attempt : new ArrayList<>(sent)) {
-                if (attempt.attempt != null && !attempt.attempt.isOut()) {
-                    attempt.attempt.giveUp(Result.MOOT);
+        /** Marks that no response is owed any more and abandons attempts that still wait for a connection. */
+        void finish() {
+            finished = true;
+            deadlineTimer.cancel(false);
+            for (PendingAttempt attempt : new ArrayList<>(attempts)) {
+                if (attempt.poolAttempt != null && !attempt.poolAttempt.isOut()) {
+                    attempt.poolAttempt.giveUp(Result.MOOT);
                 }
             }
-            forgetIfDone();
+            removeIfDone();
         }
 
-        void forgetIfDone() {
-            if (over && out == 0) {
-                held.remove(id, this);
-                if (!sent.isEmpty()) {
-                    Node.this.over.add(id);
+        void removeIfDone() {
+            if (finished && openAttempts == 0) {
+                pendingRequests.remove(id, this);
+                if (!attempts.isEmpty()) {
+                    Node.this.finishedIds.add(id);
                 }
             }
         }
     }
 
-    /** An attempt of a request. */
-    private final class Sent implements ServerPool.Caller {
-        private final Held request;
+    /** An attempt of a pending request at one server. */
+    private final class PendingAttempt implements ServerPool.Caller {
+        private final PendingRequest request;
         private final int number;
         private final String serverId;
-        private final long sentUs;
-        private final long untilUs;
+        private final long decidedUs;
+        private final long timeoutAtUs;
         private final long sendByUs;
-        private ServerPool.Attempt attempt;
-        private ScheduledFuture<?> timer;
-        private ScheduledFuture<?> sendTimer;
-        private long stallUs;
+        private ServerPool.Attempt poolAttempt;
+        private ScheduledFuture<?> timeoutTimer;
+        private ScheduledFuture<?> sendByTimer;
+        private long lagUs;
         private Result result;
-        private boolean over;
+        private boolean ended;
 
-        Sent(Held request, int number, String serverId, long sentUs, long untilUs, long sendByUs) {
+        PendingAttempt(PendingRequest request, int number, String serverId, long decidedUs,
+                long timeoutAtUs, long sendByUs) {
             this.request = request;
             this.number = number;
             this.serverId = serverId;
-            this.sentUs = sentUs;
-            this.untilUs = untilUs;
+            this.decidedUs = decidedUs;
+            this.timeoutAtUs = timeoutAtUs;
             this.sendByUs = sendByUs;
         }
 
         @Override
         public boolean isWanted() {
-            return nowUs() < untilUs && nowUs() <= sendByUs && request.isAwaited();
+            return nowUs() < timeoutAtUs && nowUs() <= sendByUs && request.isClientWaiting();
         }
 
         @Override
         public FullHttpRequest message() {
-            // Sent late for want of a connection: what the loop was behind by then is not the server's.
-            stallUs = Math.min(stall.us(), nowUs() - sentUs);
+            // The request may have waited for a connection; event-loop lag until now isn't server latency.
+            lagUs = Math.min(loopLag.us(), nowUs() - decidedUs);
             metrics.count(Counter.ATTEMPTS_WRITTEN);
-            noteDelay(this);
+            recordSendDelay(this);
             checkInvariants();
-            return request.exchange.request().forServer(untilUs - nowUs());
+            return request.exchange.request().forServer(timeoutAtUs - nowUs());
         }
 
-        /** What must hold at each first byte; whatever decided on it has checked the same before. */
+        /** Counts violations of what must hold at each first byte; all of it has been checked before. */
         private void checkInvariants() {
-            if (rehearsing) {
+            if (isWarmUpNode) {
                 return;
             }
-            String what = "request " + hex(request.id) + " attempt " + number + " to " + serverId;
+            String attemptName = "request " + hex(request.id) + " attempt " + number + " to " + serverId;
             if (!listInUse) {
-                metrics.violated(Counter.VIOLATIONS_SEND_BEFORE_LIST, what);
+                metrics.violated(Counter.VIOLATIONS_SEND_BEFORE_LIST, attemptName);
             }
             if (!pool.admits(serverId)) {
-                metrics.violated(Counter.VIOLATIONS_SEND_TO_DRAINING, what);
+                metrics.violated(Counter.VIOLATIONS_SEND_TO_DRAINING, attemptName);
             }
             long now = nowUs();
-            if (request.over || now - untilUs > HELD_UP_US || now - sendByUs > HELD_UP_US) {
-                metrics.violated(Counter.VIOLATIONS_SEND_PAST_END, what);
+            if (request.finished || now - timeoutAtUs > PAUSE_TOLERANCE_US
+                    || now - sendByUs > PAUSE_TOLERANCE_US) {
+                metrics.violated(Counter.VIOLATIONS_SEND_PAST_END, attemptName);
             }
-            if (mayRunTwice()) {
-                metrics.violated(Counter.VIOLATIONS_REPEAT, what);
+            if (couldRunTwice()) {
+                metrics.violated(Counter.VIOLATIONS_REPEAT, attemptName);
             }
         }
 
-        /** Whether an earlier attempt is out, or may have run though the class may not be repeated. */
-        private boolean mayRunTwice() {
+        /** Whether an earlier attempt is still open, or may have run although the class forbids a repeat. */
+        private boolean couldRunTwice() {
             Repeat repeat = config.settings().classes.get(request.exchange.request().classIndex()).repeat();
-            return repeat != Repeat.SAFE && request.sent.stream().limit(number).anyMatch(earlier ->
+            return repeat != Repeat.SAFE && request.attempts.stream().limit(number).anyMatch(earlier ->
                     earlier.result == null || repeat == Repeat.UNSAFE && !earlier.result.neverRan);
         }
 
         @Override
         public void ended(Result result, Answer answer) {
-            over = true;
+            ended = true;
             this.result = result;
-            request.out--;
-            if (timer != null) {
-                timer.cancel(false);
+            request.openAttempts--;
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
-            if (sendTimer != null) {
-                sendTimer.cancel(false);
+            if (sendByTimer != null) {
+                sendByTimer.cancel(false);
             }
-            if (result == Result.OK && !request.over) {
+            if (result == Result.OK && !request.finished) {
                 request.exchange.served(answer);
-                closed(request, Counter.REQUESTS_SERVED, "served by " + serverId);
-                request.end();
+                recordEnd(request, Counter.REQUESTS_SERVED, "served by " + serverId);
+                request.finish();
             }
-            request.forgetIfDone();
-            long tookUs = nowUs() - sentUs;
+            request.removeIfDone();
+            long tookUs = nowUs() - decidedUs;
             if (result == Result.MOOT) {
                 metrics.count(Counter.ATTEMPTS_NOT_SENT);
             }
             LOG.log(Level.DEBUG, () -> "request " + hex(request.id) + " attempt " + number + " at " + serverId
-                    + " ended " + result + " after " + tookUs / 1_000 + " ms");
-            stallUs = Math.min(stallUs + stall.us(), tookUs);
-            enter(request, () -> balancer.onOutcome(nowUs(),
-                    new Outcome(request.id, number, result, tookUs, request.over, null, stallUs)));
+                    + " ended with " + result + " after " + tookUs / 1_000 + " ms");
+            lagUs = Math.min(lagUs + loopLag.us(), tookUs);
+            callBalancer(request, () -> balancer.onOutcome(nowUs(),
+                    new Outcome(request.id, number, result, tookUs, request.finished, null, lagUs)));
         }
     }
 
-    /** Checks the settings: throws IllegalArgumentException if the module rejects them. */
+    /**
+     * Creates a node that has opened no sockets yet.
+     *
+     * @throws IllegalArgumentException if the decision module rejects the settings
+     */
     Node(Config config, EventLoop loop) {
         this.config = config;
         this.loop = loop;
-        config.settings().zones.forEach(z -> zones.put(z, zones.size()));
+        config.settings().zones.forEach(z -> zoneIndexes.put(z, zoneIndexes.size()));
         balancer = new ServiceQBalancer(config.settings(), config.seed(), this);
-        stall = new Stall(loop);
+        loopLag = new Stall(loop);
         sockets = new Sockets(config.sockets());
         gate = new MembershipGate(loop, metrics, !config.settings().listOnRequest,
-                config.settings().drainGraceUs, stall::us, this::resume);
+                config.settings().drainGraceUs, loopLag::us, this::resume);
         pool = new ServerPool(loop, sockets, config.settings().connectTimeoutUs, config.connIdleUs(),
                 ServerPool.REST_US, gate::mayWrite);
-        clients = new ClientServer(loop, sockets, stall, new ClientRequest.Reader(config.settings()),
-                this::take, metrics);
+        clientServer = new ClientServer(loop, sockets, loopLag, new ClientRequest.Reader(config.settings()),
+                this::acceptRequest, metrics);
         discovery = new Discovery(loop, config.discovery(), config.known().revision(),
                 config.settings().listOnRequest ? Discovery.SILENT_MS : Discovery.BEGUN_MS,
                 Discovery.SILENT_MS, this);
     }
 
     /**
-     * Asks for the list, opens the client side and serves; says that it is ready after a rehearsal of so many
-     * requests and once the list is in use: as soon as discovery has told what changed since the known one,
-     * or after {@code startMs} without a word of it.
+     * Subscribes to the server list, listens for clients and serves. The node is ready after its warm-up and
+     * once a list is in use: the known list with the changes from discovery, or the known list alone if
+     * discovery has sent nothing within {@code listWaitMs}.
+     *
+     * @param warmUpRequests number of requests of the warm-up
+     * @param listWaitMs how long to wait for discovery's list, in milliseconds
+     * @param whenReady runs when the node is ready
+     * @return completes when the listening socket is bound, or with the error
      */
-    ChannelFuture start(EventLoopGroup group, int rehearsed, long startMs, Runnable whenReady) {
-        // Before anybody can connect: what comes while the node is held up at its start has waited too.
-        stall.watch();
+    ChannelFuture start(EventLoopGroup group, int warmUpRequests, long listWaitMs, Runnable whenReady) {
+        // Before clients can connect: event-loop lag during the start also counts as their waiting time.
+        loopLag.watch();
         discovery.subscribe();
         loop.schedule(() -> {
-            // On a loop that is behind the answer may lie unread.
+            // If the event loop lags, discovery's response may not have been read yet.
             discovery.catchUp();
-            begin(ListKind.CACHED, config.known());
-        }, startMs, TimeUnit.MILLISECONDS);
-        sayReady = whenReady;
-        ChannelFuture binding = clients.listen(group, config.listen());
+            useFirstList(ListKind.CACHED, config.known());
+        }, listWaitMs, TimeUnit.MILLISECONDS);
+        onReady = whenReady;
+        ChannelFuture binding = clientServer.listen(group, config.listen());
         binding.addListener(done -> {
             if (done.isSuccess()) {
-                // Also because a first line needs files of the runtime: out of descriptors it would throw an
-                // Error, in the loop, where nothing but the log would catch it.
-                LOG.log(Level.INFO, "listening on {0}, seed {1}, known list {2} of {3} servers",
+                // The first log line opens files of the runtime. Written later, without free descriptors, it
+                // would throw an Error in the event loop, which nothing would handle.
+                LOG.log(Level.INFO,
+                        "listening on {0}, random seed {1}, known server list: revision {2}, {3} servers",
                         binding.channel().localAddress(), Long.toHexString(config.seed()),
                         Long.toString(config.known().revision()), config.known().targets().size());
                 String token = Long.toHexString(new SplittableRandom(config.seed()).nextLong());
-                clients.setRehearsal(token);
+                clientServer.setRehearsal(token);
                 new Rehearsal(loop, config, (InetSocketAddress) binding.channel().localAddress(), token,
-                        rehearsed, REHEARSE_MS, () -> {
-                            rehearsalOver = true;
-                            checkReady();
+                        warmUpRequests, MAX_WARM_UP_MS, () -> {
+                            warmUpDone = true;
+                            reportIfReady();
                         }).run();
             }
         });
@@ -312,250 +329,259 @@
     }
 
     /**
-     * Begins with a list. Not with the known one before discovery has answered, if it does: what its agent on
-     * this machine has counts as told from the start, and the known list may be older.
+     * Puts the first list into use. The known list is used only if discovery doesn't respond: what
+     * discovery's agent on this machine has counts as notified from the start, and the known list may be
+     * older.
      */
-    private void begin(ListKind kind, ServerList list) {
+    private void useFirstList(ListKind kind, ServerList list) {
         if (!listInUse) {
             gate.watch(discovery);
-            takeList(kind, list);
+            applyList(kind, list);
             listInUse = true;
-            checkReady();
+            reportIfReady();
         }
     }
 
-    private void checkReady() {
-        if (rehearsalOver && listInUse) {
-            LOG.log(Level.INFO, "ready after {0} ms",
+    private void reportIfReady() {
+        if (warmUpDone && listInUse) {
+            LOG.log(Level.INFO, "ready {0} ms after the start",
                     Long.toString(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs)));
-            clients.setReady();
-            sayReady.run();
+            clientServer.setReady();
+            onReady.run();
         }
     }
 
-    /** Takes up what may change while it runs: where discovery is. */
-    void reload(Config fresh) {
-        discovery.moveTo(fresh.discovery());
+    /** Applies what may change while the node runs: the address of discovery. */
+    void reload(Config newConfig) {
+        discovery.moveTo(newConfig.discovery());
     }
 
-    /** Begins as a rehearsal's node: it has a list, no address of its own, and asks for no other list. */
+    /** Starts as a warm-up node: uses the configured list, has no listening address and no subscription. */
     void rehearse() {
-        rehearsing = true;
-        takeList(ListKind.CACHED, config.known());
+        isWarmUpNode = true;
+        applyList(ListKind.CACHED, config.known());
     }
 
+    /** Sets up a client connection without a socket, for the warm-up. */
     void openRehearsal(ChannelPipeline pipeline) {
-        ClientConnection.open(clients, pipeline);
+        ClientConnection.open(clientServer, pipeline);
     }
 
-    /** Gives back all that it holds; for the end of a rehearsal. */
+    /** Cancels the timers and closes the connections of a warm-up node. */
     void close() {
-        if (wake != null) {
-            wake.cancel(false);
+        if (wakeTimer != null) {
+            wakeTimer.cancel(false);
         }
-        held.values().forEach(h -> h.guard.cancel(false));
-        stall.close();
+        pendingRequests.values().forEach(r -> r.deadlineTimer.cancel(false));
+        loopLag.close();
         discovery.close();
         pool.close();
     }
 
-    /** The longest that {@link #stop} can take: what is still taken has its whole time, and to be read. */
+    /**
+     * The maximum duration of {@link #stop}, in milliseconds: requests accepted while stopping still have to
+     * be read and then have their full time.
+     */
     long stopsWithinMs() {
         long longestUs = config.settings().classes.stream().mapToLong(RequestClass::deadlineUs).max()
                 .orElse(0);
-        return ACCEPT_WHILE_STOPPING_MS + longestUs / 1_000 + STOP_SLACK_MS;
+        return ACCEPT_WHILE_STOPPING_MS + longestUs / 1_000 + STOP_MARGIN_MS;
     }
 
-    /** Stops taking requests after a while and runs {@code done} as soon as all are answered. */
+    /** Stops accepting requests after a delay and runs {@code done} as soon as all have their responses. */
     void stop(Runnable done) {
-        LOG.log(Level.INFO, "stopping with {0} requests in hand", held.size());
-        clients.drain();
+        LOG.log(Level.INFO, "stopping, {0} requests are pending", pendingRequests.size());
+        clientServer.drain();
         loop.schedule(() -> {
-            clients.stopAccepting();
+            clientServer.stopAccepting();
             runWhenDone(done);
         }, ACCEPT_WHILE_STOPPING_MS, TimeUnit.MILLISECONDS);
     }
 
     private void runWhenDone(Runnable done) {
-        if (clients.closeResting()) {
+        if (clientServer.closeResting()) {
             LOG.log(Level.INFO, "stopped: {0}", metrics.summary());
             done.run();
         } else {
-            loop.schedule(() -> runWhenDone(done), DONE_CHECK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> runWhenDone(done), STOP_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private long nowUs() {
-        return us(System.nanoTime());
+        return toClockUs(System.nanoTime());
     }
 
-    private long us(long ns) {
-        return originUs + (ns - originNs) / 1_000;
+    private long toClockUs(long ns) {
+        return clockOriginUs + (ns - clockOriginNs) / 1_000;
     }
 
-    private ScheduledFuture<?> at(long us, Runnable task) {
+    private ScheduledFuture<?> scheduleAt(long us, Runnable task) {
         return loop.schedule(task, Math.max(0, us - nowUs()), TimeUnit.MICROSECONDS);
     }
 
     /**
-     * Calls the module, or queues the call while one is running: the module is not re-entrant, and what
-     * its own actions bring about at once (a connection refused, a send that is moot) comes back to it
-     * only after the call that caused it.
+     * Calls the decision module, or queues the call while another one runs: the module is not re-entrant, so
+     * the immediate results of its own actions (a refused connection, an attempt that is not sent) are
+     * reported to it only after the call that caused them.
      */
-    private void enter(Held touches, Runnable call) {
-        metrics.observe(Peak.LOOP_LAG_MS, stall.us() / 1_000);
-        if (!inCall) {
-            // A change of the list may lie unread behind what is read first.
+    private void callBalancer(PendingRequest request, Runnable action) {
+        metrics.observe(Peak.LOOP_LAG_MS, loopLag.us() / 1_000);
+        if (!inBalancerCall) {
+            // Other sockets may be read before the watch although a change of the list has already arrived.
             gate.refresh();
         }
-        events.add(new Event(touches, call));
-        if (inCall) {
+        queuedCalls.add(new BalancerCall(request, action));
+        if (inBalancerCall) {
             return;
         }
-        inCall = true;
+        inBalancerCall = true;
         try {
-            for (Event event = events.poll(); event != null; event = events.poll()) {
-                call(event);
+            for (BalancerCall call = queuedCalls.poll(); call != null; call = queuedCalls.poll()) {
+                run(call);
             }
         } finally {
-            inCall = false;
+            inBalancerCall = false;
         }
     }
 
-    /** A fault of one call must not take the node with it; its request still gets the answer it is owed. */
-    private void call(Event event) {
+    /** Runs a call. One that throws must not end the node, and its request still gets a response. */
+    private void run(BalancerCall call) {
         try {
-            event.call.run();
+            call.action.run();
         } catch (RuntimeException | Error e) {
-            // Errors too: out of memory for one request, the next may be small.
-            LOG.log(Level.ERROR, "a call of the module failed", e);
-            if (event.touches != null) {
-                fail(event.touches, HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+            // Errors too: memory may run out for one large request and suffice for the next.
+            LOG.log(Level.ERROR, "a call of the decision module failed", e);
+            if (call.request != null) {
+                failRequest(call.request, HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
             }
         }
     }
 
     // ---------------------------------------------------------------- clients
 
-    private void take(Exchange exchange) {
+    private void acceptRequest(Exchange exchange) {
         ClientRequest request = exchange.request();
-        if (held.containsKey(request.id()) || over.contains(request.id())) {
+        if (pendingRequests.containsKey(request.id()) || finishedIds.contains(request.id())) {
             exchange.failed(HttpResponseStatus.CONFLICT, "a request of this id is in hand or over");
             return;
         }
-        long arrivedUs = us(exchange.arrivedNs());
+        long arrivedUs = toClockUs(exchange.arrivedNs());
         long leftUs = request.remainingUs();
-        Held taken = new Held(exchange,
-                arrivedUs + leftUs - Math.min(ANSWER_MARGIN_US, leftUs / ANSWER_MARGIN_PART));
-        held.put(request.id(), taken);
+        PendingRequest accepted = new PendingRequest(exchange,
+                arrivedUs + leftUs - Math.min(RESPONSE_MARGIN_US, leftUs / RESPONSE_MARGIN_DIVISOR));
+        pendingRequests.put(request.id(), accepted);
         metrics.count(Counter.REQUESTS_TAKEN);
-        LOG.log(Level.DEBUG, () -> "request " + hex(request.id()) + " taken, class " + request.classIndex()
+        LOG.log(Level.DEBUG, () -> "request " + hex(request.id()) + " accepted, class " + request.classIndex()
                 + ", " + leftUs / 1_000 + " ms left");
-        taken.guard = at(arrivedUs + request.remainingUs(), () -> expire(taken));
-        exchange.whenGone(() -> leave(taken));
-        enter(taken, () -> {
+        accepted.deadlineTimer = scheduleAt(arrivedUs + request.remainingUs(), () -> expire(accepted));
+        exchange.whenGone(() -> onDisconnect(accepted));
+        callBalancer(accepted, () -> {
             long now = nowUs();
             balancer.onRequest(now, new Request(request.id(), request.classIndex(), request.tenant(),
-                    Math.max(0, taken.deadlineUs - now), request.workUs(), request.retry(),
+                    Math.max(0, accepted.deadlineUs - now), request.workUs(), request.retry(),
                     now - arrivedUs));
         });
     }
 
-    private void leave(Held left) {
-        closed(left, Counter.REQUESTS_ABANDONED, "left by its client");
-        left.end();
-        enter(left, () -> balancer.onClientGone(nowUs(), left.id));
+    private void onDisconnect(PendingRequest request) {
+        recordEnd(request, Counter.REQUESTS_ABANDONED, "client disconnected");
+        request.finish();
+        callBalancer(request, () -> balancer.onClientGone(nowUs(), request.id));
     }
 
-    /** The client's time is up and the module has said nothing: no request may stay without an answer. */
-    private void expire(Held late) {
-        if (!late.over) {
-            LOG.log(Level.WARNING, "request {0} ran out of time unanswered", hex(late.id));
-            fail(late, HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
-            enter(late, () -> balancer.onClientGone(nowUs(), late.id));
+    /** Fails a request at the client's deadline if the decision module has not ended it before. */
+    private void expire(PendingRequest request) {
+        if (!request.finished) {
+            LOG.log(Level.WARNING, "request {0} has no response at its deadline, failing it",
+                    hex(request.id));
+            failRequest(request, HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
+            callBalancer(request, () -> balancer.onClientGone(nowUs(), request.id));
         }
     }
 
-    private void fail(Held request, HttpResponseStatus status, String reason) {
-        if (!request.over) {
+    private void failRequest(PendingRequest request, HttpResponseStatus status, String reason) {
+        if (!request.finished) {
             request.exchange.failed(status, reason);
-            closed(request, Counter.REQUESTS_FAILED, reason);
-            request.end();
+            recordEnd(request, Counter.REQUESTS_FAILED, reason);
+            request.finish();
         }
     }
 
-    // ---------------------------------------------------------------- the module's actions
+    // ---------------------------------------------------------------- actions of the decision module
 
     @Override
     public void send(long requestId, String serverId, long untilUs, long sendByUs) {
-        Held request = held.get(requestId);
+        PendingRequest request = pendingRequests.get(requestId);
         if (request == null) {
-            LOG.log(Level.ERROR, "the module sent request {0}, which is not held", hex(requestId));
+            LOG.log(Level.ERROR, "the decision module sent request {0}, which is not pending",
+                    hex(requestId));
             return;
         }
         long now = nowUs();
-        long until = untilUs <= 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        Sent sent = new Sent(request, request.sent.size(), serverId, now, until, sendByUs);
+        long timeoutAtUs = untilUs <= 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
+        PendingAttempt attempt = new PendingAttempt(request, request.attempts.size(), serverId, now,
+                timeoutAtUs, sendByUs);
         metrics.count(Counter.ATTEMPTS_STARTED);
-        if (sent.number > 0) {
+        if (attempt.number > 0) {
             metrics.count(Counter.ATTEMPTS_RETRIED);
         }
-        request.sent.add(sent);
-        request.out++;
-        if (now >= until || now > sendByUs) {
-            sent.ended(Result.MOOT, null);
+        request.attempts.add(attempt);
+        request.openAttempts++;
+        if (now >= timeoutAtUs || now > sendByUs) {
+            attempt.ended(Result.MOOT, null);
             return;
         }
-        sent.timer = at(until, () -> sent.attempt.giveUp(Result.TIMEOUT));
-        sent.attempt = pool.start(serverId, sent);
-        if (sendByUs < until && !sent.over) {
-            sent.sendTimer = at(sendByUs, sent.attempt::giveUpUnlessSent);
+        attempt.timeoutTimer = scheduleAt(timeoutAtUs, () -> attempt.poolAttempt.giveUp(Result.TIMEOUT));
+        attempt.poolAttempt = pool.start(serverId, attempt);
+        if (sendByUs < timeoutAtUs && !attempt.ended) {
+            attempt.sendByTimer = scheduleAt(sendByUs, attempt.poolAttempt::giveUpUnlessSent);
         }
     }
 
     @Override
-    public void cancel(long requestId, int attempt) {
-        Held request = held.get(requestId);
-        if (request != null && attempt >= 0 && attempt < request.sent.size()) {
-            Sent sent = request.sent.get(attempt);
-            if (!sent.over) {
-                sent.attempt.giveUp(Result.CANCELLED);
+    public void cancel(long requestId, int attemptNumber) {
+        PendingRequest request = pendingRequests.get(requestId);
+        if (request != null && attemptNumber >= 0 && attemptNumber < request.attempts.size()) {
+            PendingAttempt attempt = request.attempts.get(attemptNumber);
+            if (!attempt.ended) {
+                attempt.poolAttempt.giveUp(Result.CANCELLED);
             }
         }
     }
 
     @Override
     public void refuse(long requestId, long retryAfterUs) {
-        Held request = held.get(requestId);
-        if (request != null && !request.over) {
+        PendingRequest request = pendingRequests.get(requestId);
+        if (request != null && !request.finished) {
             request.exchange.refused(retryAfterUs);
-            closed(request, Counter.REQUESTS_REFUSED, "refused");
-            request.end();
+            recordEnd(request, Counter.REQUESTS_REFUSED, "refused");
+            request.finish();
         }
     }
 
     @Override
     public void fail(long requestId) {
-        Held request = held.get(requestId);
+        PendingRequest request = pendingRequests.get(requestId);
         if (request != null) {
-            fail(request, HttpResponseStatus.BAD_GATEWAY, "failed");
+            failRequest(request, HttpResponseStatus.BAD_GATEWAY, "failed");
         }
     }
 
     @Override
     public void wakeAt(long atUs) {
-        // It keeps one wake-up pending at most, so a new one takes the place of the last.
-        if (wake != null) {
-            wake.cancel(false);
+        // The module has at most one pending wake-up, so a new one replaces the last.
+        if (wakeTimer != null) {
+            wakeTimer.cancel(false);
         }
-        wake = at(atUs, () -> enter(null, () -> balancer.onWake(nowUs())));
+        wakeTimer = scheduleAt(atUs, () -> callBalancer(null, () -> balancer.onWake(nowUs())));
     }
 
     @Override
     public void probe(String serverId) {
-        long sentUs = nowUs();
+        long startedUs = nowUs();
         ServerPool.Attempt[] probe = new ServerPool.Attempt[1];
-        ScheduledFuture<?> timer = at(sentUs + PROBE_US, () -> probe[0].giveUp(Result.TIMEOUT));
+        ScheduledFuture<?> timer = scheduleAt(startedUs + PROBE_TIMEOUT_US,
+                () -> probe[0].giveUp(Result.TIMEOUT));
         probe[0] = pool.start(serverId, new ServerPool.Caller() {
             @Override
             public FullHttpRequest message() {
@@ -568,8 +594,8 @@
             @Override
             public void ended(Result result, Answer answer) {
                 timer.cancel(false);
-                long tookUs = nowUs() - sentUs;
-                enter(null, () -> balancer.onProbe(nowUs(), serverId, result, tookUs, null));
+                long tookUs = nowUs() - startedUs;
+                callBalancer(null, () -> balancer.onProbe(nowUs(), serverId, result, tookUs, null));
             }
         });
     }
@@ -578,16 +604,16 @@
     public void subscribe() {
         if (listInUse) {
             discovery.subscribe();
-        } else if (!rehearsing) {
-            // Given the known list, the module asks for a newer one: at the start that was done already, and
-            // is done anew only if that call has failed since.
+        } else if (!isWarmUpNode) {
+            // The module subscribes when it is given the known list, but start() has done so already: only
+            // a subscription that has failed since is renewed.
             discovery.keepSubscribed();
         }
     }
 
     private void resume() {
-        // Within an event, so that what comes of it is reported after it.
-        enter(null, pool::resume);
+        // As a queued call, so that the resulting outcomes are reported after it.
+        callBalancer(null, pool::resume);
     }
 
     @Override
@@ -595,19 +621,19 @@
         LOG.log(Level.INFO, line);
     }
 
-    // ---------------------------------------------------------------- the list of servers
+    // ---------------------------------------------------------------- server list
 
     @Override
     public void onList(ServerList list) {
         if (watchFailing) {
             watchFailing = false;
-            LOG.log(Level.INFO, "the watch on the list works again");
+            LOG.log(Level.INFO, "the watch on the server list works again");
         }
         gate.proven();
         if (listInUse) {
-            takeList(list.all() ? ListKind.FULL : ListKind.CHANGES, list);
+            applyList(list.all() ? ListKind.FULL : ListKind.CHANGES, list);
         } else {
-            begin(ListKind.FULL, config.known().with(list));
+            useFirstList(ListKind.FULL, config.known().with(list));
         }
     }
 
@@ -619,25 +645,25 @@
     @Override
     public void onWatchFailed(String reason) {
         metrics.count(Counter.WATCH_FAILURES);
-        // Once a failure: while discovery is down it is called again and again.
-        LOG.log(watchFailing ? Level.DEBUG : Level.INFO, "the watch on the list failed: {0}", reason);
+        // Only the first failure in a row at INFO: while discovery is down, the watch is retried continually.
+        LOG.log(watchFailing ? Level.DEBUG : Level.INFO, "the watch on the server list failed: {0}", reason);
         watchFailing = true;
-        enter(null, () -> balancer.onListFailed(nowUs()));
+        callBalancer(null, () -> balancer.onListFailed(nowUs()));
         if (!config.settings().listOnRequest) {
-            loop.schedule(discovery::keepSubscribed, WATCH_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(discovery::keepSubscribed, WATCH_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void takeList(ListKind kind, ServerList list) {
+    private void applyList(ListKind kind, ServerList list) {
         List<ServerEntry> entries = new ArrayList<>();
         for (ServerList.Target target : list.targets()) {
-            entries.add(new ServerEntry(target.id(), zones.getOrDefault(target.zone(), -1), target.cell(),
-                    target.state(), target.weight(), 1_000 * target.bootMs()));
+            entries.add(new ServerEntry(target.id(), zoneIndexes.getOrDefault(target.zone(), -1),
+                    target.cell(), target.state(), target.weight(), 1_000 * target.bootMs()));
         }
         gate.listPending();
-        enter(null, () -> {
+        callBalancer(null, () -> {
             gate.listTaken();
-            noteList(kind, list);
+            recordList(kind, list);
             pool.update(list);
             balancer.onServers(nowUs(), kind, entries);
         });
@@ -649,33 +675,36 @@
         return HexFormat.of().toHexDigits(id);
     }
 
-    private void closed(Held request, Counter counter, String how) {
-        if (!request.over) {
+    /** Counts and logs how a request ends, unless it has ended before. */
+    private void recordEnd(PendingRequest request, Counter counter, String reason) {
+        if (!request.finished) {
             metrics.count(counter);
-            LOG.log(Level.DEBUG, () -> "request " + hex(request.id) + " closed: " + how + ", after "
-                    + request.sent.size() + " attempts");
+            LOG.log(Level.DEBUG, () -> "request " + hex(request.id) + " ended: " + reason + ", after "
+                    + request.attempts.size() + " attempts");
         }
     }
 
-    private void noteDelay(Sent sent) {
-        long delayMs = (nowUs() - sent.sentUs) / 1_000;
-        long lagMs = stall.us() / 1_000;
-        boolean slower = metrics.observe(Peak.SEND_DELAY_MS, delayMs);
-        boolean later = metrics.observe(Peak.LOOP_LAG_AT_SEND_MS, lagMs);
-        if (slower && delayMs >= NOTABLE_MS || later && lagMs >= NOTABLE_MS) {
-            LOG.log(Level.WARNING, "request {0} attempt {1} written to {2} {3} ms after its decision,"
-                    + " loop behind by {4} ms, list version {5}", hex(sent.request.id), sent.number,
-                    sent.serverId, Long.toString(delayMs), Long.toString(lagMs), Long.toString(listVersion));
+    private void recordSendDelay(PendingAttempt attempt) {
+        long delayMs = (nowUs() - attempt.decidedUs) / 1_000;
+        long lagMs = loopLag.us() / 1_000;
+        boolean isLongestDelay = metrics.observe(Peak.SEND_DELAY_MS, delayMs);
+        boolean isLongestLag = metrics.observe(Peak.LOOP_LAG_AT_SEND_MS, lagMs);
+        if (isLongestDelay && delayMs >= LOGGED_DELAY_MS || isLongestLag && lagMs >= LOGGED_DELAY_MS) {
+            LOG.log(Level.WARNING, "request {0} attempt {1} written to {2} {3} ms after the decision to send"
+                    + " it, event-loop lag {4} ms, server list revision {5}", hex(attempt.request.id),
+                    attempt.number, attempt.serverId, Long.toString(delayMs), Long.toString(lagMs),
+                    Long.toString(listRevision));
         }
     }
 
-    private void noteList(ListKind kind, ServerList list) {
+    private void recordList(ListKind kind, ServerList list) {
         metrics.count(Counter.LISTS_APPLIED);
-        listVersion = list.revision();
+        listRevision = list.revision();
         String leaving = list.targets().stream().filter(t -> t.state() != ServerState.READY)
-                .limit(NAMED_SERVERS).map(t -> t.id() + " " + t.state()).collect(Collectors.joining(", "));
-        LOG.log(leaving.isEmpty() ? Level.DEBUG : Level.INFO, () -> "list " + list.revision() + " (" + kind
-                + ") of " + list.targets().size() + ", loop behind by " + stall.us() / 1_000 + " ms: "
-                + leaving);
+                .limit(MAX_LOGGED_SERVERS).map(t -> t.id() + " " + t.state())
+                .collect(Collectors.joining(", "));
+        LOG.log(leaving.isEmpty() ? Level.DEBUG : Level.INFO, () -> "server list revision "
+                + list.revision() + " (" + kind + "), entries: " + list.targets().size()
+                + ", event-loop lag " + loopLag.us() / 1_000 + " ms, not ready: " + leaving);
     }
 }
