--- a/src/main/java/cedarrelay/node/InHand.java
+++ b/src/main/java/cedarrelay/node/InHand.java
@@ -1,41 +1,44 @@
 package cedarrelay.node;
 
 /**
- * The memory that requests take which are being read, wait their turn or are held, over all connections:
- * each may be small, and hundreds of them are still more than the heap.
+ * Limits the memory taken by requests over all connections: those being read, those waiting for their turn
+ * and the pending ones. Each may be small, but hundreds of them can exceed the heap.
  */
 final class InHand {
-    /** What a request takes besides its body: headers and the objects around them. */
-    private static final int PER_REQUEST = 2_048;
-    /** Headers as objects take so many times their bytes. */
-    private static final int HEADERS_BY = 4;
+    /** Memory of the objects that represent a request, besides its head and body. */
+    private static final int REQUEST_OVERHEAD_BYTES = 2_048;
+    /** Parsed headers take this many times their size on the wire. */
+    private static final int HEADER_OVERHEAD_FACTOR = 4;
 
-    private final long most;
-    private long bytes;
+    private final long maxBytes;
+    private long usedBytes;
 
-    InHand(long most) {
-        this.most = most;
+    /** Creates a limit of this many bytes. */
+    InHand(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** A part of the heap: answers, the module and what the runtime leaves over need the rest. */
+    /** Allows a part of the heap: responses, the decision module and uncollected garbage need the rest. */
     static InHand partOfHeap() {
         return new InHand(Runtime.getRuntime().maxMemory() / 4);
     }
 
+    /** The estimated memory of a request in bytes, by the size of its head and body on the wire. */
     static long costOf(int headBytes, int bodyBytes) {
-        return PER_REQUEST + (long) HEADERS_BY * headBytes + bodyBytes;
+        return REQUEST_OVERHEAD_BYTES + (long) HEADER_OVERHEAD_FACTOR * headBytes + bodyBytes;
     }
 
-    /** Counts so much more, if there is room for it. */
-    boolean add(long more) {
-        if (bytes + more > most) {
+    /** Reserves memory; returns false, and reserves none, if the limit would be exceeded. */
+    boolean add(long addedBytes) {
+        if (usedBytes + addedBytes > maxBytes) {
             return false;
         }
-        bytes += more;
+        usedBytes += addedBytes;
         return true;
     }
 
-    void remove(long less) {
-        bytes -= less;
+    /** Releases reserved memory. */
+    void remove(long releasedBytes) {
+        usedBytes -= releasedBytes;
     }
 }
--- a/src/main/java/cedarrelay/node/MembershipGate.java
+++ b/src/main/java/cedarrelay/node/MembershipGate.java
@@ -10,46 +10,47 @@
 import io.netty.channel.EventLoop;
 
 /**
- * Bounds the age of the server list by which anything is sent. A send that was decided in time may be
- * written much later, when its connection is up or the process runs on; by then the change that forbids it
- * may lie unread in the watch's socket, or the watch may be broken. So nothing is written before what
- * discovery has told is taken in.
+ * Limits the age of the server list that a send relies on. A send may be written long after its decision,
+ * when its connection is established or a paused process continues. By then a change that forbids it may lie
+ * unread in the socket of the watch, or the watch may be broken. So nothing is written before all received
+ * changes are applied.
  *
- * <p>The list is proven up to a moment when the open watch was read to its end then, or when discovery's
- * agent had not answered a call in its time (it is silent, and learns nothing). Where lists are pushed, a
- * list proven too long ago holds all sends until it is proven again; elsewhere a change counts as told only
- * seconds later, and reading what has come is enough.
+ * <p>The list is confirmed current as of a moment if the open watch was then read to its end, or if
+ * discovery's agent did not respond to a call made at that moment: a silent agent receives no changes either.
+ * Where lists are pushed, all sends are held back while the last confirmation is too old. Otherwise a change
+ * counts as notified only seconds later, and reading what has arrived is enough.
  */
 final class MembershipGate {
-    /** A list read so short a time ago needs no other look: far less than any grace. */
+    /** A list confirmed less than this ago isn't checked again; far shorter than any grace period. */
     private static final long FRESH_NS = TimeUnit.MILLISECONDS.toNanos(50);
-    /** What is kept of a drain's grace for a process that is held up between its clock and its write. */
-    private static final long KEPT_OF_GRACE_US = 100_000;
-    /** A hold ends after so long whatever discovery does: an unanswered call is given up sooner. */
-    private static final long MOST_HELD_MS = 1_000;
+    /** Part of the grace period reserved for a pause of the process between a check and its write. */
+    private static final long GRACE_RESERVE_US = 100_000;
+    /** Sends are held back for at most this long; discovery calls without a response time out sooner. */
+    private static final long MAX_HOLD_MS = 1_000;
 
     private static final Logger LOG = System.getLogger(MembershipGate.class.getName());
 
     private final EventLoop loop;
     private final Metrics metrics;
     private final LongSupplier lagUs;
-    private final long mostAgeNs;
+    private final long maxAgeNs;
     private final long graceNs;
     private final Runnable resume;
     private Discovery discovery;
-    private long provenNs = System.nanoTime();
-    private int listsPending;
-    private boolean held;
-    private boolean forced;
-    private int holds;
+    private long confirmedNs = System.nanoTime();
+    private int pendingLists;
+    private boolean holding;
+    private boolean staleSendsAllowed;
+    private int holdCount;
 
     /**
-     * A gate that is open until {@link #watch}.
+     * Creates a gate that lets all sends pass until {@link #watch} is called.
      *
-     * @param pushed whether what discovery's agent has counts as told at once
-     * @param graceUs how long a server may still be sent requests after its drain is told, in microseconds
-     * @param lagUs how far the event loop is behind, in microseconds
-     * @param resume sends what was held
+     * @param pushed whether a change counts as notified as soon as discovery's agent has it
+     * @param graceUs how long a server may still be sent requests after its drain was notified, in
+     *     microseconds
+     * @param lagUs the event-loop lag, in microseconds
+     * @param resume sends what was held back
      */
     MembershipGate(EventLoop loop, Metrics metrics, boolean pushed, long graceUs, LongSupplier lagUs,
             Runnable resume) {
@@ -58,32 +59,32 @@
         this.metrics = metrics;
         this.resume = resume;
         graceNs = pushed ? TimeUnit.MICROSECONDS.toNanos(graceUs) : Long.MAX_VALUE;
-        mostAgeNs = pushed ? TimeUnit.MICROSECONDS.toNanos(Math.max(0, graceUs - KEPT_OF_GRACE_US))
+        maxAgeNs = pushed ? TimeUnit.MICROSECONDS.toNanos(Math.max(0, graceUs - GRACE_RESERVE_US))
                 : Long.MAX_VALUE;
     }
 
-    /** From now on the list is one that this tells of. */
+    /** Sets where the server list comes from, and starts to hold back sends. */
     void watch(Discovery source) {
         discovery = source;
     }
 
-    /** Reads what discovery has told, unless that was done just now: before a decision, and before a send. */
+    /** Reads received list changes, unless that was done just now. Called before each decision and send. */
     void refresh() {
-        if (discovery != null && System.nanoTime() - provenNs > FRESH_NS && discovery.catchUp()) {
+        if (discovery != null && System.nanoTime() - confirmedNs > FRESH_NS && discovery.catchUp()) {
             proven();
         }
     }
 
-    /** Whether a first byte may go out now; if not, {@code resume} runs once it may. */
+    /** Whether a first byte may be written now; if not, {@code resume} runs once it may. */
     boolean mayWrite() {
         if (discovery == null) {
             return true;
         }
         refresh();
-        long ageNs = System.nanoTime() - provenNs;
-        // What was let pass before the process was held up says nothing of what was told meanwhile.
-        forced &= lagUs.getAsLong() < KEPT_OF_GRACE_US;
-        if (!isCurrent() && !forced) {
+        long ageNs = System.nanoTime() - confirmedNs;
+        // A pause of the process revokes the permission: changes may have been notified meanwhile.
+        staleSendsAllowed &= lagUs.getAsLong() < GRACE_RESERVE_US;
+        if (!isCurrent() && !staleSendsAllowed) {
             hold();
             return false;
         }
@@ -94,72 +95,73 @@
         return true;
     }
 
-    /** The list is known to be as discovery's agent has it. */
+    /** Records that the list is confirmed current as of now. */
     void proven() {
         proven(System.nanoTime());
     }
 
-    /** It was as discovery's agent had it, or discovery had nothing to tell, at this time. */
+    /** Records that the list was confirmed current at this {@link System#nanoTime}. */
     void proven(long asOfNs) {
-        if (asOfNs - provenNs > 0) {
-            provenNs = asOfNs;
-            release();
+        if (asOfNs - confirmedNs > 0) {
+            confirmedNs = asOfNs;
+            releaseIfCurrent();
         }
     }
 
-    /** A message has been read that the decision module will be told of after its present call. */
+    /** Records that a list was read which is applied only after the current call of the decision module. */
     void listPending() {
-        listsPending++;
+        pendingLists++;
     }
 
+    /** Records that a pending list is being applied. */
     void listTaken() {
-        listsPending--;
-        release();
+        pendingLists--;
+        releaseIfCurrent();
     }
 
     private void hold() {
         metrics.count(Counter.SENDS_HELD);
-        if (!held) {
-            held = true;
-            holds++;
-            endHoldLater(holds);
+        if (!holding) {
+            holding = true;
+            holdCount++;
+            scheduleHoldEnd(holdCount);
         }
     }
 
-    /** On a process held up meanwhile, the calls of discovery were too: then anew. */
-    private void endHoldLater(int hold) {
-        long dueNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MOST_HELD_MS);
+    /** Ends a hold after its time; starts anew if the process was paused, and its discovery calls with it. */
+    private void scheduleHoldEnd(int hold) {
+        long dueNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_HOLD_MS);
         loop.schedule(() -> {
-            if (!held || hold != holds) {
+            if (!holding || hold != holdCount) {
                 return;
             }
             if (System.nanoTime() - dueNs > FRESH_NS) {
-                endHoldLater(hold);
+                scheduleHoldEnd(hold);
                 return;
             }
-            LOG.log(Level.WARNING, "sends go by a list that has not been known to be current for {0} ms",
-                    Long.toString(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - provenNs)));
-            forced = true;
-            open();
-        }, MOST_HELD_MS, TimeUnit.MILLISECONDS);
+            LOG.log(Level.WARNING, "sending by a server list that was last confirmed current {0} ms ago",
+                    Long.toString(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - confirmedNs)));
+            staleSendsAllowed = true;
+            resumeSends();
+        }, MAX_HOLD_MS, TimeUnit.MILLISECONDS);
     }
 
     private boolean isCurrent() {
-        return listsPending == 0 && System.nanoTime() - provenNs <= mostAgeNs;
+        return pendingLists == 0 && System.nanoTime() - confirmedNs <= maxAgeNs;
     }
 
-    private void release() {
+    private void releaseIfCurrent() {
         if (isCurrent()) {
-            forced = false;
-            if (held) {
-                open();
+            staleSendsAllowed = false;
+            if (holding) {
+                resumeSends();
             }
         }
     }
 
-    /** Later: who learns of the list may be in the midst of something. */
-    private void open() {
-        held = false;
+    /** Resumes sends in a later task, since the caller may be in the middle of an operation. */
+    private void resumeSends() {
+        holding = false;
         loop.execute(resume);
     }
 }
--- a/src/main/java/cedarrelay/node/Metrics.java
+++ b/src/main/java/cedarrelay/node/Metrics.java
@@ -6,11 +6,11 @@
 import java.util.StringJoiner;
 
 /**
- * What a node counts while it runs, for {@code GET /metrics} and for its log. All of it is used on the event
- * loop only.
+ * The counters and maximum values of a node, for {@code GET /metrics} and for its log. Not thread-safe: used
+ * on the event loop only.
  */
 final class Metrics {
-    /** Something that is counted. The name in the exposition is the constant's, in lower case. */
+    /** A counter, exposed under the constant's name in lower case with the suffix {@code _total}. */
     enum Counter {
         REQUESTS_TAKEN("Requests read whole and handed to the decision module."),
         REQUESTS_SERVED("Requests answered with a server's 200."),
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The largest value seen of something, in milliseconds. */
+    /** A maximum since the start, in milliseconds, exposed in lower case with the prefix {@code max_}. */
     enum Peak {
         LOOP_LAG_MS("Longest lag of the event loop."),
         LIST_AGE_AT_SEND_MS("Longest time since the server list was known to be current, at a send."),
@@ -59,21 +59,22 @@
     private final long[] counts = new long[Counter.values().length];
     private final long[] peaks = new long[Peak.values().length];
 
+    /** Increments a counter. */
     void count(Counter counter) {
         counts[counter.ordinal()]++;
     }
 
-    /** Counts a broken invariant, which has a line of the log each time. */
-    void violated(Counter invariant, String what) {
+    /** Counts a violated invariant and logs it. */
+    void violated(Counter invariant, String subject) {
         count(invariant);
-        LOG.log(Level.ERROR, "invariant {0}: {1}", invariant, what);
+        LOG.log(Level.ERROR, "invariant violated, {0}: {1}", invariant, subject);
     }
 
     long value(Counter counter) {
         return counts[counter.ordinal()];
     }
 
-    /** Takes a value into account; whether it is the largest so far. */
+    /** Updates a maximum; returns whether the value is a new one. */
     boolean observe(Peak peak, long value) {
         if (value <= peaks[peak.ordinal()]) {
             return false;
@@ -86,7 +87,7 @@
         return peaks[peak.ordinal()];
     }
 
-    /** What is not 0, in one line for the log. */
+    /** All counters that are not 0 and all maximum values, in one line for the log. */
     String summary() {
         StringJoiner line = new StringJoiner(" ");
         for (Counter counter : Counter.values()) {
@@ -100,7 +101,7 @@
         return line.toString();
     }
 
-    /** All of it in the Prometheus text format, version 0.0.4. */
+    /** Renders all metrics in the Prometheus text format, version 0.0.4. */
     String render() {
         StringBuilder text = new StringBuilder();
         for (Counter counter : Counter.values()) {
@@ -112,9 +113,9 @@
         return text.toString();
     }
 
-    private static void append(StringBuilder to, String constant, String type, String help, long value) {
+    private static void append(StringBuilder output, String constant, String type, String help, long value) {
         String name = PREFIX + constant.toLowerCase(Locale.ROOT);
-        to.append("# HELP ").append(name).append(' ').append(help).append('\n')
+        output.append("# HELP ").append(name).append(' ').append(help).append('\n')
                 .append("# TYPE ").append(name).append(' ').append(type).append('\n')
                 .append(name).append(' ').append(value).append('\n');
     }
--- a/src/main/java/cedarrelay/node/Rehearsal.java
+++ b/src/main/java/cedarrelay/node/Rehearsal.java
@@ -16,99 +16,111 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Made-up requests before the node says that it is ready. A program that has just started loads classes
- * and runs unoptimised code: the first real requests took up to 0.2 s of the processor's time each, which
- * made them and those behind them late, and some unanswered in their time. A second node, of its own
- * memory, sends them over real connections to the first one's address, where they are known by a token
- * and answered on the spot; nothing of them reaches a server or the first node's module.
+ * Warms up a node with synthetic requests before it reports that it is ready. Just after its start the
+ * process loads classes and runs unoptimized code: the first requests of clients took up to 0.2 s of
+ * processor time each, so that they and those queued behind them missed their latency target, and some their
+ * deadline. A second node with separate state sends the synthetic requests over real connections to the
+ * first node's address. There they are recognized by a token and answered at once: none reaches a server or
+ * the first node's decision module.
  */
 final class Rehearsal {
+    /** Carries the token that marks a request of the warm-up. */
     static final String HEADER = "X-Rehearsal";
-    private static final int CLIENTS = 4;
-    private static final int SOCKETS = Sockets.RESERVE + 64;
+    private static final int CONCURRENT_CLIENTS = 4;
+    private static final int SOCKET_LIMIT = Sockets.RESERVE + 64;
 
     private final EventLoop loop;
     private final Config config;
     private final String token;
-    private final int requests;
+    private final int requestCount;
     private final long endNs;
-    private final Runnable done;
-    private final Node node;
-    private int sent;
-    private int answered;
-    private boolean over;
+    private final Runnable onDone;
+    private final Node warmUpNode;
+    private int sentCount;
+    private int responseCount;
+    private boolean finished;
 
-    /** Sends so many requests, or fewer if that takes too long, and then runs {@code done}. */
-    Rehearsal(EventLoop loop, Config real, InetSocketAddress self, String token, int requests, long mostMs,
-            Runnable done) {
+    /**
+     * Prepares a warm-up.
+     *
+     * @param nodeConfig the configuration of the node that is warmed up
+     * @param nodeAddress where that node listens
+     * @param token marks the requests of the warm-up
+     * @param requestCount number of requests to send, or fewer if {@code maxMs} milliseconds pass before
+     * @param onDone runs when the warm-up is over
+     */
+    Rehearsal(EventLoop loop, Config nodeConfig, InetSocketAddress nodeAddress, String token,
+            int requestCount, long maxMs, Runnable onDone) {
         this.loop = loop;
         this.token = token;
-        this.requests = requests;
-        this.done = done;
-        endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
-        String zone = real.settings().zones.isEmpty() ? "" : real.settings().zones.get(0);
-        ServerList itself = new ServerList(0, true, List.of(
-                new ServerList.Target("self", self, zone, 0, ServerState.READY, 1, 0)));
-        config = new Config(self, self, 1, SOCKETS, real.connIdleUs(), real.settings(), itself);
-        node = new Node(config, loop);
+        this.requestCount = requestCount;
+        this.onDone = onDone;
+        endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs);
+        String zone = nodeConfig.settings().zones.isEmpty() ? "" : nodeConfig.settings().zones.get(0);
+        ServerList nodeAsServer = new ServerList(0, true, List.of(
+                new ServerList.Target("self", nodeAddress, zone, 0, ServerState.READY, 1, 0)));
+        config = new Config(nodeAddress, nodeAddress, 1, SOCKET_LIMIT, nodeConfig.connIdleUs(),
+                nodeConfig.settings(), nodeAsServer);
+        warmUpNode = new Node(config, loop);
     }
 
+    /** Starts the warm-up; {@code onDone} runs when it is over, after {@code maxMs} at the latest. */
     void run() {
-        node.rehearse();
-        // Whatever goes wrong here must not keep the node from its work.
-        loop.schedule(this::end, endNs - System.nanoTime(), TimeUnit.NANOSECONDS);
-        for (int i = 0; i < CLIENTS; i++) {
-            next(new Client());
+        warmUpNode.rehearse();
+        // A failure of the warm-up must not keep the node from becoming ready.
+        loop.schedule(this::finish, endNs - System.nanoTime(), TimeUnit.NANOSECONDS);
+        for (int i = 0; i < CONCURRENT_CLIENTS; i++) {
+            sendNext(new EmbeddedClient());
         }
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
-            node.close();
-            done.run();
+    private void finish() {
+        if (!finished) {
+            finished = true;
+            warmUpNode.close();
+            onDone.run();
         }
     }
 
-    private void next(Client client) {
-        if (over) {
+    private void sendNext(EmbeddedClient client) {
+        if (finished) {
             return;
         }
-        if (sent == requests || System.nanoTime() - endNs > 0) {
-            if (answered == sent) {
-                end();
+        if (sentCount == requestCount || System.nanoTime() - endNs > 0) {
+            if (responseCount == sentCount) {
+                finish();
             }
             return;
         }
-        client.writeInbound(request(sent++));
+        client.writeInbound(createRequest(sentCount++));
     }
 
-    private ByteBuf request(int number) {
-        RequestClass cls = config.settings().classes.get(number % config.settings().classes.size());
-        boolean safe = cls.repeat() == Repeat.SAFE;
+    private ByteBuf createRequest(int number) {
+        RequestClass requestClass = config.settings().classes.get(number % config.settings().classes.size());
+        boolean safe = requestClass.repeat() == Repeat.SAFE;
         String tenant = config.settings().tenants.isEmpty() ? ""
                 : "X-Org: " + config.settings().tenants.get(0).name() + "\r\n";
-        return Unpooled.copiedBuffer((safe ? "GET" : "POST") + " /" + cls.name() + " HTTP/1.1\r\n"
+        return Unpooled.copiedBuffer((safe ? "GET" : "POST") + " /" + requestClass.name() + " HTTP/1.1\r\n"
                 + "Host: backend.local\r\nX-Txn: " + HexFormat.of().toHexDigits((long) number) + "\r\n"
                 + tenant
                 + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + HEADER + ": " + token + "\r\n"
                 + (safe ? "" : "Content-Length: 4\r\n")
-                + (cls.repeat() == Repeat.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
+                + (requestClass.repeat() == Repeat.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
                 + "\r\n" + (safe ? "" : "body"), StandardCharsets.US_ASCII);
     }
 
-    /** A client without a socket: what is written to it has been answered. */
-    private final class Client extends EmbeddedChannel {
-        Client() {
-            node.openRehearsal(pipeline());
+    /** A client connection without a socket: each message written to it is a response. */
+    private final class EmbeddedClient extends EmbeddedChannel {
+        EmbeddedClient() {
+            warmUpNode.openRehearsal(pipeline());
             pipeline().fireChannelActive();
         }
 
         @Override
         protected void handleOutboundMessage(Object message) {
             ReferenceCountUtil.release(message);
-            answered++;
-            loop.execute(() -> next(this));
+            responseCount++;
+            loop.execute(() -> sendNext(this));
         }
     }
 }
--- a/src/main/java/cedarrelay/node/Stall.java
+++ b/src/main/java/cedarrelay/node/Stall.java
@@ -6,56 +6,59 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * Tells how far the event loop is behind. What is read while it is may have lain in the system's buffers for
- * so long: that time is the node's own, and no server's. It comes from whatever keeps the loop from its
- * sockets: unoptimised code just after a start, a processor that others use, a pause for memory.
+ * Measures the event-loop lag with a periodic tick. Data that is read while the loop lags may have waited in
+ * the kernel's buffers for that long; this time must not be taken for a server's latency. Causes are
+ * unoptimized code just after a start, a processor busy with other processes, and garbage collection.
  */
 final class Stall {
-    /** Far under any aim; a beat costs some microseconds. */
-    private static final long BEAT_NS = TimeUnit.MILLISECONDS.toNanos(10);
+    /** Far below any latency target; a tick costs a few microseconds. */
+    private static final long TICK_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final EventLoop loop;
-    /** When the last beat that has run was due. */
-    private long dueNs;
-    private ScheduledFuture<?> beat;
+    /** When the latest tick that has run was due, by {@link System#nanoTime}. */
+    private long lastDueNs;
+    private ScheduledFuture<?> nextTick;
     private int beats;
 
     Stall(EventLoop loop) {
         this.loop = loop;
     }
 
+    /** Starts the ticks. */
     void watch() {
-        dueNs = System.nanoTime();
+        lastDueNs = System.nanoTime();
         schedule();
     }
 
+    /** Stops the ticks. */
     void close() {
-        if (beat != null) {
-            beat.cancel(false);
+        if (nextTick != null) {
+            nextTick.cancel(false);
         }
     }
 
-    /** How many beats have run: a loop that is behind runs one in a turn, however long that takes. */
+    /** Number of ticks so far. A lagging loop runs one per iteration, however long the iteration takes. */
     int beats() {
         return beats;
     }
 
     /**
-     * How long what is read now may have waited for the loop, in microseconds; 0 on a loop that keeps up.
-     * Counted from when the last beat was due and not from when it ran: what comes during a long turn of the
-     * loop is read in the next one, after the beat at the turn's end.
+     * How long data that is read now may have waited for the event loop, in microseconds; 0 without lag.
+     * Counted from when the last tick was due, not from when it ran: data that arrives during a long
+     * iteration of the loop is read in the next one, after the tick at the end of the long one.
      */
     long us() {
-        return beat == null ? 0
-                : TimeUnit.NANOSECONDS.toMicros(Math.max(0, System.nanoTime() - dueNs - BEAT_NS));
+        return nextTick == null ? 0
+                : TimeUnit.NANOSECONDS.toMicros(
+                        Math.max(0, System.nanoTime() - lastDueNs - TICK_INTERVAL_NS));
     }
 
     private void schedule() {
-        long nextNs = System.nanoTime() + BEAT_NS;
-        beat = loop.schedule(() -> {
-            dueNs = nextNs;
+        long nextDueNs = System.nanoTime() + TICK_INTERVAL_NS;
+        nextTick = loop.schedule(() -> {
+            lastDueNs = nextDueNs;
             beats++;
             schedule();
-        }, BEAT_NS, TimeUnit.NANOSECONDS);
+        }, TICK_INTERVAL_NS, TimeUnit.NANOSECONDS);
     }
 }
