--- a/src/test/java/cedarrelay/node/FaultSoakTest.java
+++ b/src/test/java/cedarrelay/node/FaultSoakTest.java
@@ -19,30 +19,31 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A fleet of real processes under faults that overlap in time, drawn from a seed; the rules are the
- * oracle. Without properties it plays one short seed. More: {@code -Dsoak.seeds=1-20 -Dsoak.nodes=10
- * -Dsoak.seconds=20}. Every third seed asks for its lists; to the others they are pushed.
+ * Runs a fleet of node processes under random, overlapping faults and checks with {@link SoakLedger} that no
+ * rule is broken. The seed determines the faults. By default it runs one seed for a short time; for more use
+ * {@code -Dsoak.seeds=1-20 -Dsoak.nodes=10 -Dsoak.seconds=20}. With every third seed the nodes request their
+ * server lists; with the others the lists are pushed.
  */
 @Timeout(1_800)
 class FaultSoakTest {
     private static final int NODES = Integer.getInteger("soak.nodes", 10);
-    private static final int SECONDS = Integer.getInteger("soak.seconds", 8);
+    private static final int DURATION_S = Integer.getInteger("soak.seconds", 8);
     private static final int SERVERS = 8;
-    private static final int CLIENTS = 3;
-    private static final int MOST_HELD_UP_MS = 1_000;
-    private static final int GONE_AFTER_MS = 3_000;
-    private static final int LEAST_READY = 4;
-    private static final int MOST_GAP_MS = 250;
+    private static final int CLIENTS_PER_NODE = 3;
+    private static final int MAX_PAUSE_MS = 1_000;
+    private static final int REMOVAL_DELAY_MS = 3_000;
+    private static final int MIN_READY_SERVERS = 4;
+    private static final int MAX_FAULT_INTERVAL_MS = 250;
 
     private final List<SoakServer> servers = new ArrayList<>();
-    private final List<SoakServer> ready = new ArrayList<>();
+    private final List<SoakServer> readyServers = new ArrayList<>();
     private final List<SoakNode> nodes = new ArrayList<>();
     private final Queue<String> timeline = new ConcurrentLinkedQueue<>();
     private SoakDiscovery[] agents;
     private SoakLedger ledger;
     private SplittableRandom random;
-    private ExecutorService faults;
-    private int started;
+    private ExecutorService faultExecutor;
+    private int serverCount;
 
     static LongStream seeds() {
         String[] range = System.getProperty("soak.seeds", "1").split("-");
@@ -53,38 +54,40 @@
     @MethodSource("seeds")
     void theRulesHold(long seed) throws Exception {
         random = new SplittableRandom(seed);
-        faults = Executors.newCachedThreadPool();
+        faultExecutor = Executors.newCachedThreadPool();
         List<SoakClient> clients = new ArrayList<>();
         try {
-            open(seed % 3 != 0);
+            startFleet(seed % 3 != 0);
             List<Thread> threads = new ArrayList<>();
             for (SoakNode node : nodes) {
-                for (int i = 0; i < CLIENTS; i++) {
+                for (int i = 0; i < CLIENTS_PER_NODE; i++) {
                     SoakClient client = new SoakClient(node, i, ledger, random.nextLong());
                     clients.add(client);
                     threads.add(new Thread(client));
                 }
             }
             threads.forEach(Thread::start);
-            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
+            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(DURATION_S);
             while (System.nanoTime() - endNs < 0) {
-                fault();
-                TimeUnit.MILLISECONDS.sleep(random.nextInt(MOST_GAP_MS));
+                injectFault();
+                TimeUnit.MILLISECONDS.sleep(random.nextInt(MAX_FAULT_INTERVAL_MS));
             }
-            faults.shutdown();
-            assertTrue(faults.awaitTermination(60, TimeUnit.SECONDS), "faults never end");
-            clients.forEach(SoakClient::end);
+            faultExecutor.shutdown();
+            assertTrue(faultExecutor.awaitTermination(60, TimeUnit.SECONDS),
+                    "the faults did not end in time");
+            clients.forEach(SoakClient::stop);
             for (Thread thread : threads) {
                 thread.join();
             }
-            finish(seed);
+            checkResults(seed);
         } finally {
-            clients.forEach(SoakClient::end);
-            close();
+            clients.forEach(SoakClient::stop);
+            stopFleet();
         }
     }
 
-    private void open(boolean pushed) throws Exception {
+    /** Starts the agents, servers and nodes, and waits until all nodes are ready. */
+    private void startFleet(boolean pushed) throws Exception {
         agents = new SoakDiscovery[NODES];
         ledger = new SoakLedger(agents, pushed);
         for (int i = 0; i < NODES; i++) {
@@ -92,7 +95,7 @@
             nodes.add(new SoakNode(i, agents[i], ledger, pushed));
         }
         for (int i = 0; i < SERVERS; i++) {
-            join();
+            addServer();
         }
         for (SoakNode node : nodes) {
             node.start();
@@ -100,9 +103,9 @@
         for (SoakNode node : nodes) {
             node.awaitReady();
         }
-        faults.execute(() -> {
+        faultExecutor.execute(() -> {
             try {
-                while (!faults.isShutdown()) {
+                while (!faultExecutor.isShutdown()) {
                     TimeUnit.SECONDS.sleep(1);
                     for (SoakDiscovery agent : agents) {
                         agent.heartbeat();
@@ -114,25 +117,25 @@
         });
     }
 
-    private void finish(long seed) throws Exception {
-        long held = 0;
+    private void checkResults(long seed) throws Exception {
+        long sendsHeld = 0;
         for (SoakNode node : nodes) {
             node.awaitReady();
             node.checkCounters();
-            held += node.metric("sends_held_total");
+            sendsHeld += node.metric("sends_held_total");
         }
         System.out.println("soak seed " + seed + ": " + ledger.arrivals + " attempts, " + ledger.served
-                + " served, " + ledger.refused + " refused, " + ledger.failed + " failed, " + held
+                + " served, " + ledger.refused + " refused, " + ledger.failed + " failed, " + sendsHeld
                 + " held, violations " + ledger.violations);
         if (!ledger.violations.isEmpty()) {
             timeline.forEach(System.out::println);
         }
         assertEquals(List.of(), List.copyOf(ledger.violations), "seed " + seed);
-        assertTrue(ledger.served.get() > NODES * SECONDS, "hardly anything served");
+        assertTrue(ledger.served.get() > NODES * DURATION_S, "too few requests were served");
     }
 
-    private void close() throws IOException {
-        faults.shutdownNow();
+    private void stopFleet() throws IOException {
+        faultExecutor.shutdownNow();
         nodes.forEach(SoakNode::close);
         for (SoakDiscovery agent : agents) {
             agent.close();
@@ -142,88 +145,88 @@
         }
     }
 
-    /** Something goes wrong, beside whatever does already. */
-    private void fault() throws IOException {
-        int which = random.nextInt(100);
+    /** Starts a random fault, which may overlap with earlier ones. */
+    private void injectFault() throws IOException {
+        int choice = random.nextInt(100);
         SoakNode node = nodes.get(random.nextInt(NODES));
-        int ms = random.nextInt(50, MOST_HELD_UP_MS);
-        if (which < 35) {
-            run("hold up node " + node.index + " for " + ms, () -> node.holdUp(ms));
-        } else if (which < 55) {
-            drain();
-        } else if (which < 62) {
-            run("crash node " + node.index, () -> node.crash(ms));
-        } else if (which < 70) {
-            run("restart node " + node.index, node::restart);
-        } else if (which < 82) {
-            SoakDiscovery.Fault fault = SoakDiscovery.Fault.values()[random.nextInt(3)];
-            timeline.add(ledger.now() + " watches " + fault);
+        int durationMs = random.nextInt(50, MAX_PAUSE_MS);
+        if (choice < 35) {
+            runFault("pause node " + node.index + " for " + durationMs, () -> node.pause(durationMs));
+        } else if (choice < 55) {
+            drainServer();
+        } else if (choice < 62) {
+            runFault("crash node " + node.index, () -> node.crash(durationMs));
+        } else if (choice < 70) {
+            runFault("restart node " + node.index, node::restart);
+        } else if (choice < 82) {
+            SoakDiscovery.WatchFault fault = SoakDiscovery.WatchFault.values()[random.nextInt(3)];
+            timeline.add(ledger.timestamp() + " watches " + fault);
             for (SoakDiscovery agent : agents) {
-                agent.spoil(fault);
+                agent.breakWatches(fault);
             }
-        } else if (which < 88) {
-            run("silence for " + 4 * ms, () -> silence(4L * ms));
+        } else if (choice < 88) {
+            runFault("discovery silent for " + 4 * durationMs, () -> silenceDiscovery(4L * durationMs));
         } else {
-            SoakServer server = ready.get(random.nextInt(ready.size()));
+            SoakServer server = readyServers.get(random.nextInt(readyServers.size()));
             SoakServer.Mode mode = SoakServer.Mode.values()[random.nextInt(5)];
-            run(server.id + " " + mode, () -> {
+            runFault(server.id + " " + mode, () -> {
                 server.mode = mode;
-                TimeUnit.MILLISECONDS.sleep(2L * ms);
+                TimeUnit.MILLISECONDS.sleep(2L * durationMs);
                 server.mode = SoakServer.Mode.SERVE;
             });
         }
     }
 
-    private void silence(long ms) throws Exception {
+    private void silenceDiscovery(long durationMs) throws Exception {
         for (SoakDiscovery agent : agents) {
-            agent.fallSilent();
+            agent.startSilence();
         }
-        TimeUnit.MILLISECONDS.sleep(ms);
+        TimeUnit.MILLISECONDS.sleep(durationMs);
         for (SoakDiscovery agent : agents) {
-            agent.speak();
+            agent.endSilence();
         }
     }
 
-    private void join() throws IOException {
-        SoakServer server = new SoakServer("s-" + ++started, ledger);
+    private void addServer() throws IOException {
+        SoakServer server = new SoakServer("s-" + ++serverCount, ledger);
         servers.add(server);
-        ready.add(server);
-        tell(server, "Ready");
+        readyServers.add(server);
+        announce(server, "Ready");
     }
 
-    /** A server drains, another takes its place, and the first is gone later. */
-    private void drain() throws IOException {
-        if (ready.size() > LEAST_READY) {
-            SoakServer server = ready.remove(random.nextInt(ready.size()));
-            tell(server, "Terminating");
-            run(server.id + " drains", () -> {
-                TimeUnit.MILLISECONDS.sleep(GONE_AFTER_MS);
-                tell(server, "Gone");
+    /** Drains a server, starts another in its place, and removes the first one later. */
+    private void drainServer() throws IOException {
+        if (readyServers.size() > MIN_READY_SERVERS) {
+            SoakServer server = readyServers.remove(random.nextInt(readyServers.size()));
+            announce(server, "Terminating");
+            runFault(server.id + " drains", () -> {
+                TimeUnit.MILLISECONDS.sleep(REMOVAL_DELAY_MS);
+                announce(server, "Gone");
             });
         }
-        if (ready.size() < SERVERS) {
-            join();
+        if (readyServers.size() < SERVERS) {
+            addServer();
         }
     }
 
-    private void tell(SoakServer server, String state) {
+    private void announce(SoakServer server, String state) {
         for (SoakDiscovery agent : agents) {
-            agent.tell(server.id, server.address(), state, 0);
+            agent.announce(server.id, server.address(), state, 0);
         }
     }
 
-    private interface Fault {
+    private interface FaultAction {
         void run() throws Exception;
     }
 
-    private void run(String what, Fault fault) {
-        faults.execute(() -> {
+    private void runFault(String description, FaultAction fault) {
+        faultExecutor.execute(() -> {
             try {
-                timeline.add(ledger.now() + " " + what);
+                timeline.add(ledger.timestamp() + " " + description);
                 fault.run();
-                timeline.add(ledger.now() + " over: " + what);
+                timeline.add(ledger.timestamp() + " ended: " + description);
             } catch (Exception | AssertionError e) {
-                ledger.violated(what + " could not be made: " + e);
+                ledger.recordViolation(description + " could not be run: " + e);
             }
         });
     }
--- a/src/test/java/cedarrelay/node/SoakClient.java
+++ b/src/test/java/cedarrelay/node/SoakClient.java
@@ -7,25 +7,27 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A client of one node: asks, waits, comes back, and at times leaves before its answer. */
+/** A client of one node: sends one request after the other, and sometimes disconnects before the response. */
 final class SoakClient implements Runnable {
     private static final int CONNECT_MS = 500;
-    private static final int PAUSE_MS = 60;
-    private static final int LEAVES_IN = 12;
-    /** No answer by then is none: processes are held up for up to a second, more than once. */
-    private static final int NEVER_MS = 6_000;
-    /** A front sends no new connections to a node that ends, from so long after SIGTERM. */
-    private static final long FRONT_NS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final int MAX_THINK_TIME_MS = 60;
+    /** For one in this many requests the client disconnects before the response. */
+    private static final int DISCONNECT_ONE_IN = 12;
+    /** How late a response may come: processes are paused repeatedly, for up to 1 s each time. */
+    private static final int RESPONSE_MARGIN_MS = 6_000;
+    /** The load balancer in front of the nodes opens no connections to a node this long after its SIGTERM. */
+    private static final long NEW_CONNECTIONS_AFTER_SIGTERM_NS = TimeUnit.MILLISECONDS.toNanos(200);
     private static final String[] PATHS = {"view", "photo", "order"};
 
     private final SoakNode node;
     private final SoakLedger ledger;
     private final SplittableRandom random;
     private final long idBase;
-    private volatile boolean over;
+    private volatile boolean stopped;
     private Socket socket;
-    private boolean fresh;
-    private int count;
+    /** Whether the connection has carried no response yet. */
+    private boolean unusedConnection;
+    private int requestCount;
 
     SoakClient(SoakNode node, int number, SoakLedger ledger, long seed) {
         this.node = node;
@@ -34,104 +36,110 @@
         idBase = (long) (node.index + 1) << 40 | (long) (number + 1) << 24;
     }
 
-    void end() {
-        over = true;
+    /** Ends {@link #run} after the current request. */
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void run() {
         try {
-            while (!over) {
+            while (!stopped) {
                 if (socket != null || connect()) {
-                    ask();
+                    sendRequest();
                 }
-                TimeUnit.MILLISECONDS.sleep(random.nextInt(PAUSE_MS));
+                TimeUnit.MILLISECONDS.sleep(random.nextInt(MAX_THINK_TIME_MS));
             }
-            drop();
+            disconnect();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     private boolean connect() {
-        if (node.stoppingNs != 0 && System.nanoTime() - node.stoppingNs > FRONT_NS) {
+        if (node.stopSignalNs != 0
+                && System.nanoTime() - node.stopSignalNs > NEW_CONNECTIONS_AFTER_SIGTERM_NS) {
             return false;
         }
-        Socket next = new Socket();
+        Socket newSocket = new Socket();
         try {
-            next.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port), CONNECT_MS);
-            next.setTcpNoDelay(true);
+            newSocket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port), CONNECT_MS);
+            newSocket.setTcpNoDelay(true);
         } catch (IOException e) {
-            close(next);
+            close(newSocket);
             return false;
         }
-        socket = next;
-        fresh = true;
+        socket = newSocket;
+        unusedConnection = true;
         return true;
     }
 
-    private void ask() throws InterruptedException {
-        String id = String.format("%016x", idBase | ++count);
-        SoakLedger.Kind kind = SoakLedger.Kind.values()[random.nextInt(PATHS.length)];
-        int waitMs = random.nextInt(200, SoakNode.LONGEST_MS);
-        int endsBefore = node.ends.get();
-        SoakLedger.Sent sent = new SoakLedger.Sent(node.index, kind,
-                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs));
-        ledger.sent(id, sent);
+    private void sendRequest() throws InterruptedException {
+        String id = String.format("%016x", idBase | ++requestCount);
+        SoakLedger.RequestKind kind = SoakLedger.RequestKind.values()[random.nextInt(PATHS.length)];
+        int remainingMs = random.nextInt(200, SoakNode.MAX_DEADLINE_MS);
+        int terminationsBefore = node.terminations.get();
+        SoakLedger.SentRequest request = new SoakLedger.SentRequest(node.index, kind,
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(remainingMs));
+        ledger.recordRequest(id, request);
         try {
-            FakePeer.write(socket, head(kind, id, waitMs));
-            if (random.nextInt(LEAVES_IN) == 0) {
+            FakePeer.write(socket, buildRequest(kind, id, remainingMs));
+            if (random.nextInt(DISCONNECT_ONE_IN) == 0) {
                 TimeUnit.MILLISECONDS.sleep(random.nextInt(100));
-                drop();
-                sent.leftNs = System.nanoTime();
+                disconnect();
+                request.disconnectedNs = System.nanoTime();
                 return;
             }
-            socket.setSoTimeout(waitMs + NEVER_MS);
-            String answer = FakePeer.read(socket);
-            if (answer == null) {
-                unanswered(id, endsBefore, "closed");
+            socket.setSoTimeout(remainingMs + RESPONSE_MARGIN_MS);
+            String response = FakePeer.read(socket);
+            if (response == null) {
+                recordMissingResponse(id, terminationsBefore, "closed");
             } else {
-                answered(answer);
+                recordResponse(response);
             }
         } catch (java.net.SocketTimeoutException e) {
-            unanswered(id, endsBefore, "silent");
+            recordMissingResponse(id, terminationsBefore, "silent");
         } catch (IOException e) {
-            unanswered(id, endsBefore, e.getMessage());
+            recordMissingResponse(id, terminationsBefore, e.getMessage());
         }
     }
 
-    private static String head(SoakLedger.Kind kind, String id, int waitMs) {
-        boolean safe = kind == SoakLedger.Kind.SAFE;
+    private static String buildRequest(SoakLedger.RequestKind kind, String id, int remainingMs) {
+        boolean safe = kind == SoakLedger.RequestKind.SAFE;
         return (safe ? "GET /" : "POST /") + PATHS[kind.ordinal()] + " HTTP/1.1\r\nHost: a\r\nX-Txn: " + id
-                + "\r\nX-Remaining-Ms: " + waitMs + "\r\n"
-                + (kind == SoakLedger.Kind.KEYED ? "Idempotency-Key: k" + id + "\r\n" : "")
+                + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
+                + (kind == SoakLedger.RequestKind.KEYED ? "Idempotency-Key: k" + id + "\r\n" : "")
                 + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
     }
 
-    private void answered(String answer) {
-        fresh = false;
-        (answer.startsWith("HTTP/1.1 200") ? ledger.served
-                : answer.startsWith("HTTP/1.1 503") ? ledger.refused : ledger.failed).incrementAndGet();
-        if (answer.startsWith("HTTP/1.1 503") && FakePeer.header(answer, "Retry-After") == null) {
-            ledger.violated("node " + node.index + " refuses without Retry-After");
+    private void recordResponse(String response) {
+        unusedConnection = false;
+        (response.startsWith("HTTP/1.1 200") ? ledger.served
+                : response.startsWith("HTTP/1.1 503") ? ledger.refused : ledger.failed).incrementAndGet();
+        if (response.startsWith("HTTP/1.1 503") && FakePeer.header(response, "Retry-After") == null) {
+            ledger.recordViolation("node " + node.index + " refused a request without Retry-After");
         }
-        if ("close".equals(FakePeer.header(answer, "Connection"))) {
-            drop();
+        if ("close".equals(FakePeer.header(response, "Connection"))) {
+            disconnect();
         }
     }
 
-    /** A kept connection may be closed on a request that was never read; a process may have been killed. */
-    private void unanswered(String id, int endsBefore, String how) throws InterruptedException {
-        boolean excused = !fresh && !how.equals("silent");
-        drop();
-        // A kill is entered before it happens; an end after SIGTERM right behind it.
+    /**
+     * Records a request without a response, unless there is an excuse: a node may close an idle connection
+     * before it has read the next request, or its process may have been killed.
+     */
+    private void recordMissingResponse(String id, int terminationsBefore, String cause)
+            throws InterruptedException {
+        boolean excused = !unusedConnection && !cause.equals("silent");
+        disconnect();
+        // A kill is counted before it happens, but the end of a process after SIGTERM shortly after it.
         TimeUnit.MILLISECONDS.sleep(100);
-        if (!excused && node.ends.get() == endsBefore) {
-            ledger.violated("lost: " + id + " of node " + node.index + ": " + how);
+        if (!excused && node.terminations.get() == terminationsBefore) {
+            ledger.recordViolation("no response to " + id + " of node " + node.index + ": " + cause);
         }
     }
 
-    private void drop() {
+    private void disconnect() {
         if (socket != null) {
             close(socket);
             socket = null;
@@ -142,7 +150,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // Closed is closed.
+            // The socket is unusable in any case.
             return;
         }
     }
--- a/src/test/java/cedarrelay/node/SoakDiscovery.java
+++ b/src/test/java/cedarrelay/node/SoakDiscovery.java
@@ -10,21 +10,21 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery's agent of one node: tells of servers, falls silent, breaks its watches, cuts its messages. */
+/** Discovery's agent of one node: sends the server list, and can fall silent or break its watches. */
 final class SoakDiscovery implements Closeable {
-    /** What becomes of the watches that are open. */
-    enum Fault { RESET, END, CUT }
+    /** How the open watches break: by a TCP reset, a regular close, or a message that is never completed. */
+    enum WatchFault { RESET, END, CUT }
 
-    private final Map<String, String> listed = new LinkedHashMap<>();
-    private final Map<String, Long> leavingSince = new ConcurrentHashMap<>();
-    private final Queue<String> unheard = new ConcurrentLinkedQueue<>();
+    private final Map<String, String> entriesById = new LinkedHashMap<>();
+    private final Map<String, Long> leaveNotifiedNsById = new ConcurrentHashMap<>();
+    private final Queue<String> pendingLeaves = new ConcurrentLinkedQueue<>();
     private final Queue<Socket> watches = new ConcurrentLinkedQueue<>();
     private final FakePeer peer;
     private int revision = 1;
     private boolean silent;
 
     SoakDiscovery() throws IOException {
-        peer = new FakePeer(this::call);
+        peer = new FakePeer(this::respond);
     }
 
     String address() {
@@ -35,18 +35,18 @@
         return peer;
     }
 
-    /** When the node counts as told that a server drains or is gone, or 0. */
-    long leavingSinceNs(String server) {
-        return leavingSince.getOrDefault(server, 0L);
+    /** When the node counts as notified that a server drains or is removed, by System.nanoTime, or 0. */
+    long leaveNotifiedNs(String server) {
+        return leaveNotifiedNsById.getOrDefault(server, 0L);
     }
 
-    private synchronized void call(Socket socket, String call) throws IOException {
+    private synchronized void respond(Socket socket, String request) throws IOException {
         if (silent) {
             return;
         }
         Fixture.beginWatch(socket);
-        // A whole list may leave out what drains.
-        Fixture.line(socket, message(true, String.join(",", listed.values().stream()
+        // A full list need not contain draining servers.
+        Fixture.line(socket, message(true, String.join(",", entriesById.values().stream()
                 .filter(e -> e.contains("Ready")).toList())));
         watches.add(socket);
     }
@@ -55,24 +55,24 @@
         return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":[" + entries + "]}";
     }
 
-    /** A server is new, drains or is gone. */
-    synchronized void tell(String server, String address, String state, long bootMs) {
+    /** Sends a change of a server, or notes it for later while silent. */
+    synchronized void announce(String server, String address, String state, long bootMs) {
         String entry = "{\"uid\":\"" + server + "\",\"endpoint\":\"" + address + "\",\"state\":\"" + state
                 + "\",\"boot_ms\":" + bootMs + "}";
         revision++;
         if (state.equals("Gone")) {
-            listed.remove(server);
+            entriesById.remove(server);
         } else {
-            listed.put(server, entry);
+            entriesById.put(server, entry);
         }
         if (silent) {
             if (!state.equals("Ready")) {
-                unheard.add(server);
+                pendingLeaves.add(server);
             }
             return;
         }
         if (!state.equals("Ready")) {
-            leavingSince.putIfAbsent(server, System.nanoTime());
+            leaveNotifiedNsById.putIfAbsent(server, System.nanoTime());
         }
         for (Socket watch : watches) {
             write(watch, message(false, entry));
@@ -87,38 +87,40 @@
         }
     }
 
-    /** An empty line, as comes every 2 s. */
+    /** Sends the empty line that keeps a watch alive. Real agents send one every 2 s. */
     synchronized void heartbeat() {
         if (!silent) {
             watches.forEach(watch -> write(watch, ""));
         }
     }
 
-    /** Says nothing and learns nothing until {@link #speak}. */
-    synchronized void fallSilent() {
+    /** Sends nothing and doesn't respond to calls until {@link #endSilence}. */
+    synchronized void startSilence() {
         silent = true;
-        // What was told just now may never have been read: it is told again.
+        // The node may not have read recent changes: they count as notified only after the silence.
         long recentNs = System.nanoTime() - TimeUnit.SECONDS.toNanos(1);
-        leavingSince.forEach((server, sinceNs) -> {
+        leaveNotifiedNsById.forEach((server, sinceNs) -> {
             if (sinceNs - recentNs > 0) {
-                unheard.add(server);
-                leavingSince.remove(server);
+                pendingLeaves.add(server);
+                leaveNotifiedNsById.remove(server);
             }
         });
     }
 
-    synchronized void speak() throws IOException {
+    /** Ends a silence: what was missed counts as notified now, and the node has to call again. */
+    synchronized void endSilence() throws IOException {
         if (silent) {
             silent = false;
-            for (String server : unheard) {
-                leavingSince.putIfAbsent(server, System.nanoTime());
+            for (String server : pendingLeaves) {
+                leaveNotifiedNsById.putIfAbsent(server, System.nanoTime());
             }
-            unheard.clear();
-            spoil(Fault.RESET);
+            pendingLeaves.clear();
+            breakWatches(WatchFault.RESET);
         }
     }
 
-    synchronized void spoil(Fault fault) throws IOException {
+    /** Breaks all open watches. */
+    synchronized void breakWatches(WatchFault fault) throws IOException {
         for (Socket watch = watches.poll(); watch != null; watch = watches.poll()) {
             try {
                 switch (fault) {
@@ -127,7 +129,7 @@
                     case CUT -> Fixture.piece(watch, "{\"rev\":" + (revision + 1) + ",\"all\":fa");
                 }
             } catch (IOException | InterruptedException e) {
-                // The node has ended it already.
+                // The node has closed the watch already.
                 watch.close();
             }
         }
--- a/src/test/java/cedarrelay/node/SoakLedger.java
+++ b/src/test/java/cedarrelay/node/SoakLedger.java
@@ -7,119 +7,130 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Everything that clients, servers and discovery of a soak saw, and what of it breaks a rule. */
+/** Checks what the clients, servers and agents of a soak observe against the rules. Thread-safe. */
 final class SoakLedger {
-    /** The classes of the soak's settings, by their index. */
-    enum Kind { SAFE, KEYED, UNSAFE }
+    /** The request classes of the soak's settings, in their order. */
+    enum RequestKind { SAFE, KEYED, UNSAFE }
 
+    /** How long a keyed request may be repeated: the window of the soak's settings. */
     static final long WINDOW_NS = TimeUnit.MILLISECONDS.toNanos(1_200);
+    /** The grace period of a drain, with its tolerance. */
     private static final long GRACE_NS = TimeUnit.MILLISECONDS.toNanos(550);
-    private static final long ASKED_FOR_NS = TimeUnit.SECONDS.toNanos(6);
-    private static final long LEFT_NS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long DEADLINE_SLACK_NS = TimeUnit.MILLISECONDS.toNanos(150);
-    /** What the soak's own threads may be late with on a busy machine. */
-    private static final long OWN_SLACK_NS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long ON_REQUEST_DELAY_NS = TimeUnit.SECONDS.toNanos(6);
+    private static final long DISCONNECT_TOLERANCE_NS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long DEADLINE_TOLERANCE_NS = TimeUnit.MILLISECONDS.toNanos(150);
+    /** Delays of the soak's own threads on a busy machine. */
+    private static final long TEST_DELAY_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
     /** A client's request. */
-    static final class Sent {
+    static final class SentRequest {
         final int node;
-        final Kind kind;
+        final RequestKind kind;
         final long deadlineNs;
         final long sentNs = System.nanoTime();
-        volatile long leftNs;
-        private long firstRunNs;
+        volatile long disconnectedNs;
+        private long firstExecutionNs;
 
-        Sent(int node, Kind kind, long deadlineNs) {
+        SentRequest(int node, RequestKind kind, long deadlineNs) {
             this.node = node;
             this.kind = kind;
             this.deadlineNs = deadlineNs;
         }
     }
 
-    /** A time in which a node's process stood still. */
-    private record Hold(int node, long fromNs, long toNs) { }
+    /** A time during which a node's process was paused. */
+    private record Pause(int node, long fromNs, long toNs) { }
 
-    private final Queue<Hold> holds = new ConcurrentLinkedQueue<>();
+    private final Queue<Pause> pauses = new ConcurrentLinkedQueue<>();
     final Queue<String> violations = new ConcurrentLinkedQueue<>();
     final AtomicLong arrivals = new AtomicLong();
     final AtomicLong served = new AtomicLong();
     final AtomicLong refused = new AtomicLong();
     final AtomicLong failed = new AtomicLong();
-    private final Map<String, Sent> requests = new ConcurrentHashMap<>();
+    private final Map<String, SentRequest> requests = new ConcurrentHashMap<>();
     private final SoakDiscovery[] agents;
     private final long graceNs;
     private final long startNs = System.nanoTime();
 
-    /** Where lists are not pushed, what a broken watch missed counts as told only 6 s later. */
+    /** Where lists are not pushed, changes missed by a broken watch count as notified only 6 s later. */
     SoakLedger(SoakDiscovery[] agents, boolean pushed) {
         this.agents = agents;
-        graceNs = GRACE_NS + (pushed ? 0 : ASKED_FOR_NS);
+        graceNs = GRACE_NS + (pushed ? 0 : ON_REQUEST_DELAY_NS);
     }
 
-    /** Enters a broken rule. */
-    void violated(String what) {
-        violations.add(now() + " " + what);
+    /** Records a broken rule. */
+    void recordViolation(String subject) {
+        violations.add(timestamp() + " " + subject);
     }
 
-    /** Milliseconds since the soak began, for its timeline. */
-    String now() {
+    /** The milliseconds since the start of the soak, for its timeline. */
+    String timestamp() {
         return ms(System.nanoTime() - startNs) + " ms:";
     }
 
-    void sent(String id, Sent request) {
+    /** Records a request before its client sends it. */
+    void recordRequest(String id, SentRequest request) {
         requests.put(id, request);
     }
 
-    /** A server has been sent a request whole; {@code runs} unless it turns it away. */
-    void arrived(String server, String id, long firstByteNs, long waitMs, boolean runs) {
+    /**
+     * Records a request that a server has received, and checks the rules of a send.
+     *
+     * @param remainingMs the time left that the server was given, in milliseconds
+     * @param isExecuted whether the server executes the request, and doesn't reject it
+     */
+    void recordArrival(String server, String id, long receivedNs, long remainingMs, boolean isExecuted) {
         arrivals.incrementAndGet();
-        Sent request = requests.get(id);
+        SentRequest request = requests.get(id);
         if (request == null) {
-            violated("unknown id " + id);
+            recordViolation("unknown id " + id);
             return;
         }
-        String what = id + " of node " + request.node + " at " + server + ": ";
-        long told = agents[request.node].leavingSinceNs(server);
-        if (told != 0 && firstByteNs - told > graceNs + OWN_SLACK_NS) {
-            violated(what + "drain, " + ms(firstByteNs - told) + " ms after it was told");
+        String subject = id + " of node " + request.node + " at " + server + ": ";
+        long notifiedNs = agents[request.node].leaveNotifiedNs(server);
+        if (notifiedNs != 0 && receivedNs - notifiedNs > graceNs + TEST_DELAY_NS) {
+            recordViolation(subject + "sent to a draining server, " + ms(receivedNs - notifiedNs)
+                    + " ms after the notification");
         }
-        if (request.leftNs != 0 && firstByteNs - request.leftNs > LEFT_NS + OWN_SLACK_NS
-                + heldUpNs(request, firstByteNs)) {
-            violated(what + "begun " + ms(firstByteNs - request.leftNs) + " ms after its client left");
+        if (request.disconnectedNs != 0 && receivedNs - request.disconnectedNs
+                > DISCONNECT_TOLERANCE_NS + TEST_DELAY_NS + pausedNs(request, receivedNs)) {
+            recordViolation(subject + "sent " + ms(receivedNs - request.disconnectedNs)
+                    + " ms after its client disconnected");
         }
-        long beyondNs = firstByteNs + TimeUnit.MILLISECONDS.toNanos(waitMs) - request.deadlineNs;
-        if (beyondNs > DEADLINE_SLACK_NS + OWN_SLACK_NS + heldUpNs(request, firstByteNs)) {
-            violated(what + "its deadline goes on as " + ms(beyondNs) + " ms too far");
+        long excessNs = receivedNs + TimeUnit.MILLISECONDS.toNanos(remainingMs) - request.deadlineNs;
+        if (excessNs > DEADLINE_TOLERANCE_NS + TEST_DELAY_NS + pausedNs(request, receivedNs)) {
+            recordViolation(subject + "the deadline given to the server is " + ms(excessNs) + " ms too late");
         }
-        if (runs) {
-            run(request, what, firstByteNs);
+        if (isExecuted) {
+            recordExecution(request, subject, receivedNs);
         }
     }
 
-    /** A process was held up in this time: what it had read of its clock before may be written after. */
-    void heldUp(int node, long fromNs, long toNs) {
-        holds.add(new Hold(node, fromNs, toNs));
+    /** Records a pause of a process: checks made before it may allow writes after it. */
+    void recordPause(int node, long fromNs, long toNs) {
+        pauses.add(new Pause(node, fromNs, toNs));
     }
 
     /**
-     * For how long a request's node was held up between its client's write and its arrival: what it has
-     * checked right before its write may be written after.
+     * How long the node of a request was paused between the client's write and the arrival at the server. By
+     * this much the arrival may be later than the rules say: the node may have been paused between its check
+     * and its write.
      */
-    private long heldUpNs(Sent request, long arrivedNs) {
-        return holds.stream().filter(h -> h.node == request.node && h.fromNs - request.sentNs > 0
-                && arrivedNs - h.fromNs > 0).mapToLong(h -> h.toNs - h.fromNs).sum();
+    private long pausedNs(SentRequest request, long arrivedNs) {
+        return pauses.stream().filter(p -> p.node == request.node && p.fromNs - request.sentNs > 0
+                && arrivedNs - p.fromNs > 0).mapToLong(p -> p.toNs - p.fromNs).sum();
     }
 
-    private void run(Sent request, String what, long nowNs) {
+    private void recordExecution(SentRequest request, String subject, long nowNs) {
         synchronized (request) {
-            if (request.firstRunNs == 0) {
-                request.firstRunNs = nowNs;
+            if (request.firstExecutionNs == 0) {
+                request.firstExecutionNs = nowNs;
                 return;
             }
-            long sinceNs = nowNs - request.firstRunNs;
-            if (request.kind == Kind.UNSAFE
-                    || request.kind == Kind.KEYED && sinceNs > WINDOW_NS + OWN_SLACK_NS) {
-                violated(what + "duplicate, " + ms(sinceNs) + " ms after the first");
+            long sinceNs = nowNs - request.firstExecutionNs;
+            if (request.kind == RequestKind.UNSAFE
+                    || request.kind == RequestKind.KEYED && sinceNs > WINDOW_NS + TEST_DELAY_NS) {
+                recordViolation(subject + "executed again, " + ms(sinceNs) + " ms after the first execution");
             }
         }
     }
--- a/src/test/java/cedarrelay/node/SoakNode.java
+++ b/src/test/java/cedarrelay/node/SoakNode.java
@@ -13,12 +13,13 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 
-/** One place in the soak's fleet, its discovery and the processes that take it one after the other. */
+/** A node of the soak's fleet, with its discovery agent. Each restart gives it a new process. */
 final class SoakNode implements Closeable {
-    static final int LONGEST_MS = 3_000;
-    /** The longest deadline and 0.7 s, when SIGKILL may come, and what a busy machine adds. */
-    private static final long STOP_MS = LONGEST_MS + 700 + 1_500;
-    private static final int KILLED_BY_SIGTERM = 143;
+    /** The longest deadline of a client. */
+    static final int MAX_DEADLINE_MS = 3_000;
+    /** The longest deadline and 0.7 s, when SIGKILL may come, plus 1.5 s for a busy machine. */
+    private static final long MAX_STOP_MS = MAX_DEADLINE_MS + 700 + 1_500;
+    private static final int SIGTERM_EXIT_STATUS = 143;
     private static final String CLASSES = """
             [{"name":"view","onTimeUs":1000000,"giveUpUs":3000000,"repeat":"safe","group":"all"},
              {"name":"photo","onTimeUs":1000000,"giveUpUs":3000000,"repeat":"keyed","group":"all",
@@ -28,11 +29,11 @@
     final int index;
     final SoakDiscovery agent;
     final int port;
-    final Path log;
-    /** Counts kills, before and after each: what a client then misses is nobody's fault. */
-    final AtomicInteger ends = new AtomicInteger();
-    /** When the present process was told to end, by System.nanoTime, or 0. */
-    volatile long stoppingNs;
+    final Path logFile;
+    /** Counts kills, before and after each: a response missed around a kill breaks no rule. */
+    final AtomicInteger terminations = new AtomicInteger();
+    /** When the current process was sent SIGTERM, by System.nanoTime, or 0. */
+    volatile long stopSignalNs;
     private final SoakLedger ledger;
     private final boolean pushed;
     private NodeProcess process;
@@ -43,8 +44,8 @@
         this.ledger = ledger;
         this.pushed = pushed;
         port = NodeProcess.freePort();
-        log = Files.createTempFile("soak-" + index + "-", ".log");
-        log.toFile().deleteOnExit();
+        logFile = Files.createTempFile("soak-" + index + "-", ".log");
+        logFile.toFile().deleteOnExit();
     }
 
     synchronized void start() throws Exception {
@@ -55,62 +56,63 @@
         settings.addProperty("membershipMode", pushed ? "pushed" : "on_request");
         settings.getAsJsonObject("limits").addProperty("dialTimeoutUs", 500_000);
         config.addProperty("seed", Integer.toHexString(index + 1));
-        process = new NodeProcess(config, port, log, Map.of());
-        stoppingNs = 0;
+        process = new NodeProcess(config, port, logFile, Map.of());
+        stopSignalNs = 0;
     }
 
     synchronized void awaitReady() throws Exception {
         process.awaitReady();
     }
 
-    /** Holds the process up for so long. */
-    synchronized void holdUp(long ms) throws Exception {
+    /** Pauses the process (SIGSTOP, SIGCONT). */
+    synchronized void pause(long ms) throws Exception {
         process.signal("STOP");
-        // The process has stood still since some milliseconds before this.
+        // The process has been paused since a few milliseconds before this.
         long fromNs = System.nanoTime();
         try {
             TimeUnit.MILLISECONDS.sleep(ms);
         } finally {
-            // Entered before it ends, so that what is sent at once finds it.
-            ledger.heldUp(index, fromNs, System.nanoTime());
+            // Recorded before the process continues, so that checks of its first sends find the pause.
+            ledger.recordPause(index, fromNs, System.nanoTime());
             process.signal("CONT");
         }
     }
 
-    /** SIGKILL, and a new process after a while. */
+    /** Kills the process (SIGKILL) and starts a new one after {@code downMs}. */
     synchronized void crash(long downMs) throws Exception {
-        ends.incrementAndGet();
+        terminations.incrementAndGet();
         process.signal("KILL");
         process.close();
-        ends.incrementAndGet();
+        terminations.incrementAndGet();
         TimeUnit.MILLISECONDS.sleep(downMs);
         start();
     }
 
-    /** SIGTERM, an orderly end in time, and a new process. */
+    /** Sends SIGTERM, checks that the process ends in order and in time, and starts a new one. */
     synchronized void restart() throws Exception {
         checkCounters();
         boolean wasReady = process.isReady();
-        stoppingNs = System.nanoTime();
+        stopSignalNs = System.nanoTime();
         process.signal("TERM");
-        if (!process.awaitEnd(STOP_MS)) {
-            ledger.violated("node " + index + " still runs " + STOP_MS + " ms after SIGTERM");
-        } else if (process.exitValue() == KILLED_BY_SIGTERM && !wasReady) {
-            // The runtime ends a program that has not come to set its own handler up.
-            ends.incrementAndGet();
+        if (!process.awaitEnd(MAX_STOP_MS)) {
+            ledger.recordViolation("node " + index + " is still running " + MAX_STOP_MS
+                    + " ms after SIGTERM");
+        } else if (process.exitValue() == SIGTERM_EXIT_STATUS && !wasReady) {
+            // SIGTERM came before the program had set up its signal handler, so the JVM ended it.
+            terminations.incrementAndGet();
         } else if (process.exitValue() != 0) {
-            ledger.violated("node " + index + " ended with " + process.exitValue());
+            ledger.recordViolation("node " + index + " ended with exit status " + process.exitValue());
         }
         process.close();
         start();
     }
 
-    /** What the process counts as broken itself. */
+    /** Checks that the process runs and that its own counters of violations are 0. */
     synchronized void checkCounters() throws IOException {
         if (!process.isAlive()) {
-            List<String> said = Files.readAllLines(log);
-            ledger.violated("node " + index + " has crashed: " + said.subList(Math.max(0, said.size() - 5),
-                    said.size()));
+            List<String> logLines = Files.readAllLines(logFile);
+            ledger.recordViolation("node " + index + " has ended unexpectedly: "
+                    + logLines.subList(Math.max(0, logLines.size() - 5), logLines.size()));
             return;
         }
         if (!process.isReady()) {
@@ -121,7 +123,7 @@
                 String name = counter.name().toLowerCase(java.util.Locale.ROOT) + "_total";
                 long count = process.metric(name);
                 if (count > 0) {
-                    ledger.violated("node " + index + " counts " + name + " " + count);
+                    ledger.recordViolation("node " + index + " reports " + name + " " + count);
                 }
             }
         }
--- a/src/test/java/cedarrelay/node/SoakServer.java
+++ b/src/test/java/cedarrelay/node/SoakServer.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A server of the soak: serves, hangs, fails, turns away or resets, and enters what it is sent. */
+/** A server of the soak: records the requests that it receives and responds to them as its mode says. */
 final class SoakServer implements Closeable {
-    /** How it answers. */
-    enum Mode { SERVE, HANG, ERROR, TURN_AWAY, RESET }
+    /** How the server responds. */
+    enum Mode { SERVE, HANG, ERROR, REJECT, RESET }
 
-    private static final int SLOWEST_MS = 80;
+    private static final int MAX_SERVICE_MS = 80;
 
     final String id;
     volatile Mode mode = Mode.SERVE;
@@ -21,30 +21,30 @@
     SoakServer(String id, SoakLedger ledger) throws IOException {
         this.id = id;
         this.ledger = ledger;
-        peer = new FakePeer(this::serve);
+        peer = new FakePeer(this::respond);
     }
 
     String address() {
         return peer.address();
     }
 
-    private void serve(Socket socket, String request) throws IOException, InterruptedException {
-        long nowNs = System.nanoTime();
+    private void respond(Socket socket, String request) throws IOException, InterruptedException {
+        long receivedNs = System.nanoTime();
         peer.requests.clear();
         if (request.startsWith("GET /health")) {
             FakePeer.answer("200 OK", "", "").run(socket, request);
             return;
         }
-        Mode now = mode;
-        ledger.arrived(id, FakePeer.header(request, "X-Txn"), nowNs,
-                Long.parseLong(FakePeer.header(request, "X-Remaining-Ms")), now != Mode.TURN_AWAY);
-        switch (now) {
+        Mode currentMode = mode;
+        ledger.recordArrival(id, FakePeer.header(request, "X-Txn"), receivedNs,
+                Long.parseLong(FakePeer.header(request, "X-Remaining-Ms")), currentMode != Mode.REJECT);
+        switch (currentMode) {
             case SERVE -> {
-                TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(SLOWEST_MS));
+                TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(MAX_SERVICE_MS));
                 FakePeer.answer("200 OK", "", "done").run(socket, request);
             }
             case ERROR -> FakePeer.answer("500 Error", "", "").run(socket, request);
-            case TURN_AWAY -> FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "").run(socket, request);
+            case REJECT -> FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "").run(socket, request);
             case RESET -> FakePeer.RESET.run(socket, request);
             default -> { }
         }
