--- a/src/test/java/cedarrelay/node/SoakLedger.java
+++ b/src/test/java/cedarrelay/node/SoakLedger.java
@@ -22,7 +22,7 @@
     /** Delays of the soak's own threads on a busy machine. */
     private static final long TEST_DELAY_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** A client's request. */
+    /** A client's request. Times are by System.nanoTime, and 0 for what has not happened. */
     static final class SentRequest {
         final int node;
         final RequestKind kind;
@@ -59,8 +59,8 @@
     }
 
     /** Records a broken rule. */
-    void recordViolation(String subject) {
-        violations.add(timestamp() + " " + subject);
+    void recordViolation(String description) {
+        violations.add(timestamp() + " " + description);
     }
 
     /** The milliseconds since the start of the soak, for its timeline. */
