--- a/src/main/java/cedarrelay/node/Discovery.java
+++ b/src/main/java/cedarrelay/node/Discovery.java
@@ -29,43 +29,58 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.ScheduledFuture;
 
-/** The watch on the list of servers: one at a time, opened when asked for, reported once when it fails. */
+/**
+ * Client of discovery: keeps one watch on the server list open, on which discovery streams the list and its
+ * changes. A watch that fails is reported once and is not reopened until the next call of {@link #subscribe}
+ * or {@link #keepSubscribed}.
+ *
+ * <p>Not thread-safe: all methods are called on the event loop.
+ */
 final class Discovery {
     /**
-     * Something comes every 2 s: half as long again is silence. What a silent watch misses counts as told
-     * after 6 s, and nothing new may go by it {@code rules.drainGraceUs} later: by then another call has to
-     * be answered, which takes its time where lists are asked for.
+     * Idle timeout of a watch, which receives at least a heartbeat every 2 s. A change that a silent watch
+     * misses counts as notified after 6 s, and {@code rules.drainGraceUs} later no request may be sent by the
+     * outdated list. By then another call has to be answered, which may be slow if lists come on request.
      */
     static final long SILENT_MS = 3_000;
-    /** Where lists are pushed, the agent on this machine begins its answer at once, or is all silent. */
+    /**
+     * Response timeout of a call if lists are pushed: discovery's agent on this machine then begins its
+     * response at once or not at all.
+     */
     static final long BEGUN_MS = 400;
-    /** So long may the pieces of a message lie apart: one cut short is never finished. */
-    private static final long PIECE_MS = 250;
-    /** How long a call is waited for while discovery is silent: it may answer again at any moment. */
-    private static final long BEGUN_AGAIN_MS = 150;
-    /** One call in so many is waited for as long as the first: discovery may just be slow. */
-    private static final int PATIENT_CALL = 4;
-    /** An answer whose first line has not come by then has nothing to tell. */
-    private static final long FIRST_LINE_NS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** Reads at once, at most, to come to the end of what the system holds. */
-    private static final int MOST_READS = 256;
-    /** No version is known, so that the whole list is wanted. */
-    private static final long NONE = -1;
-    /** A line for each of some thousand servers; past it a message is malformed. */
-    private static final int MAX_MESSAGE = 1 << 20;
-    private static final int MAX_LINE = 4_096;
-    private static final int MAX_HEADERS = 8_192;
-
-    /** Where the news goes. */
+    /** Longest gap between two parts of a message; a message that is cut short is never completed. */
+    private static final long MAX_MESSAGE_GAP_MS = 250;
+    /**
+     * Response timeout of a call that follows an unanswered one. It is short because discovery may respond
+     * again at any moment.
+     */
+    private static final long REPEATED_CALL_TIMEOUT_MS = 150;
+    /** Among unanswered calls, one in so many has the full response timeout: discovery may just be slow. */
+    private static final int FULL_TIMEOUT_INTERVAL = 4;
+    /** If a response has no content so long after its head, discovery has no change to report. */
+    private static final long FIRST_CONTENT_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Limit of reads in a row to empty the kernel's receive buffer. */
+    private static final int MAX_CATCH_UP_READS = 256;
+    /** No revision is known, so the full list is requested. */
+    private static final long NO_REVISION = -1;
+    /** Room for a line for each of some thousand servers; a larger message is malformed. */
+    private static final int MAX_MESSAGE_BYTES = 1 << 20;
+    private static final int MAX_LINE_BYTES = 4_096;
+    private static final int MAX_HEADERS_BYTES = 8_192;
+
+    /** Receives the messages and failures of the watch. */
     interface Listener {
+        /** A message was received: the full list, or changes of it. */
         void onList(ServerList list);
 
-        /** The watch could not be opened or has ended. */
+        /** The watch could not be opened or has ended; reported once for each watch. */
         void onWatchFailed(String reason);
 
         /**
-         * Discovery was not there for a call: it had nothing to tell at the time of the call, by
-         * {@link System#nanoTime}. Comes right before that call's failure.
+         * Discovery has not responded to a call in time, so it had no update to report at the time of the
+         * call. May be called more than once for a call, and at the latest right before its failure.
+         *
+         * @param asOfNs the time of the call, by {@link System#nanoTime}
          */
         default void onSilence(long asOfNs) { }
     }
@@ -73,24 +88,30 @@
     private final EventLoop loop;
     private InetSocketAddress address;
     private final Listener listener;
-    private final long begunMs;
-    private final long silentMs;
+    private final long responseTimeoutMs;
+    private final long idleTimeoutMs;
     private long revision;
-    private int silentCalls;
+    private int unansweredCalls;
     private Watch watch;
 
-    /** The answer to a call has to begin within {@code begunMs}, and then to go on each {@code silentMs}. */
-    Discovery(EventLoop loop, InetSocketAddress address, long revision, long begunMs, long silentMs,
-            Listener listener) {
+    /**
+     * Creates a client without an open watch.
+     *
+     * @param revision the revision of the known list; the watch reports later changes
+     * @param responseTimeoutMs the time for the response to a call to begin, in milliseconds
+     * @param idleTimeoutMs the longest time without data on an open watch, in milliseconds
+     */
+    Discovery(EventLoop loop, InetSocketAddress address, long revision, long responseTimeoutMs,
+            long idleTimeoutMs, Listener listener) {
         this.loop = loop;
         this.address = address;
         this.revision = revision;
-        this.begunMs = begunMs;
-        this.silentMs = silentMs;
+        this.responseTimeoutMs = responseTimeoutMs;
+        this.idleTimeoutMs = idleTimeoutMs;
         this.listener = listener;
     }
 
-    /** Asks for changes from now on; takes the place of a watch that is still open. */
+    /** Opens a watch on changes from now on; it replaces one that is still open. */
     void subscribe() {
         if (watch != null) {
             watch.close();
@@ -99,22 +120,26 @@
         watch.open();
     }
 
-    /** Asks again, if it is not done already. */
+    /** Opens a watch unless there is one. */
     void keepSubscribed() {
         if (watch == null) {
             subscribe();
         }
     }
 
-    /** Asks there from now on, at once. The versions of one address say nothing at another. */
-    void moveTo(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
-            revision = NONE;
+    /**
+     * Opens a watch at this address at once, unless it is the present one. Revisions of different addresses
+     * can't be compared, so the full list is requested.
+     */
+    void moveTo(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
+            revision = NO_REVISION;
             subscribe();
         }
     }
 
+    /** Closes the watch without a report. */
     void close() {
         if (watch != null) {
             watch.close();
@@ -123,23 +148,27 @@
     }
 
     /**
-     * Takes in all that the system holds of the watch already: what a loop that is behind reads first may
-     * else be newer than the list. Returns whether the list is as discovery has it: the watch is open,
-     * answered and read to the end of a message.
+     * Reads and applies everything that the kernel has received on the watch already. A lagging event loop
+     * might otherwise handle newer events, such as requests, with an older list.
+     *
+     * @return whether the list is current: the watch is open, answered and read to the end of a message
      */
     boolean catchUp() {
-        Watch reading = watch;
-        if (reading == null || reading.channel == null) {
+        Watch current = watch;
+        if (current == null || current.channel == null) {
             return false;
         }
-        reading.catchUp();
-        return reading == watch && reading.isCurrent();
+        current.catchUp();
+        return current == watch && current.isCurrent();
     }
 
-    /** Messages by their braces: they may be indented over several lines, and come in any pieces. */
-    private static final class Framing extends JsonObjectDecoder {
-        Framing() {
-            super(MAX_MESSAGE);
+    /**
+     * Splits the stream into messages by their braces: a message may extend over several lines and arrive in
+     * parts of any size.
+     */
+    private static final class MessageDecoder extends JsonObjectDecoder {
+        MessageDecoder() {
+            super(MAX_MESSAGE_BYTES);
         }
 
         boolean isMidMessage() {
@@ -147,75 +176,81 @@
         }
     }
 
-    /** One call and the answer that stays open. */
+    /** A call to discovery and its response, which stays open. */
     private final class Watch extends ChannelInboundHandlerAdapter {
-        private final Framing framing = new Framing();
+        private final MessageDecoder messageDecoder = new MessageDecoder();
         private Channel channel;
-        private ScheduledFuture<?> silence;
-        private long received;
-        private final long patienceMs = silentCalls % PATIENT_CALL == 0 ? begunMs
-                : Math.min(begunMs, BEGUN_AGAIN_MS);
-        private long calledNs = System.nanoTime();
-        private long headNs;
-        private boolean told;
-        private boolean over;
+        private ScheduledFuture<?> timeout;
+        private long receivedBytes;
+        /** Response timeout of this call. */
+        private final long callTimeoutMs = unansweredCalls % FULL_TIMEOUT_INTERVAL == 0 ? responseTimeoutMs
+                : Math.min(responseTimeoutMs, REPEATED_CALL_TIMEOUT_MS);
+        private long requestedNs = System.nanoTime();
+        /** When the head of the response was received, by {@link System#nanoTime}; 0 before. */
+        private long headReceivedNs;
+        private boolean bodyReceived;
+        private boolean closed;
 
         boolean isCurrent() {
-            // A connection whose end has just been read is reported only by a later task.
-            return !over && channel.isActive() && headNs != 0 && !framing.isMidMessage()
-                    && (told || System.nanoTime() - headNs > FIRST_LINE_NS);
+            // The end of a connection is reported by a later task than the one that reads it, so the channel
+            // is asked itself.
+            return !closed && channel.isActive() && headReceivedNs != 0 && !messageDecoder.isMidMessage()
+                    && (bodyReceived || System.nanoTime() - headReceivedNs > FIRST_CONTENT_WAIT_NS);
         }
 
         void open() {
-            expectWithin(patienceMs);
-            NioSocketChannel fresh;
+            restartTimeout(callTimeoutMs);
+            NioSocketChannel newChannel;
             try {
-                fresh = new NioSocketChannel();
+                newChannel = new NioSocketChannel();
             } catch (ChannelException e) {
-                // Out of descriptors: as good as no connection. Later, since the caller is mid-call.
-                loop.execute(() -> fail("can't be opened: " + e.getCause()));
+                // Out of file descriptors; handled like a failed connect. Reported by a later task, since the
+                // call that opens the watch has not returned yet.
+                loop.execute(() -> fail("cannot open a socket: " + e.getCause()));
                 return;
             }
-            channel = fresh;
-            new Bootstrap().group(loop).channelFactory(() -> fresh).disableResolver()
+            channel = newChannel;
+            new Bootstrap().group(loop).channelFactory(() -> newChannel).disableResolver()
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel to) {
-                            to.pipeline().addLast(new ByteCount(),
-                                    new HttpClientCodec(MAX_LINE, MAX_HEADERS, 8_192), Watch.this, framing,
-                                    new Messages());
+                        protected void initChannel(SocketChannel ch) {
+                            ch.pipeline().addLast(new ByteCounter(),
+                                    new HttpClientCodec(MAX_LINE_BYTES, MAX_HEADERS_BYTES, 8_192),
+                                    Watch.this, messageDecoder, new MessageHandler());
                         }
-                    }).connect(address).addListener(done -> {
-                        if (done.isSuccess()) {
-                            ask();
+                    }).connect(address).addListener(future -> {
+                        if (future.isSuccess()) {
+                            sendRequest();
                         } else {
-                            listener.onSilence(calledNs);
-                            fail("can't be connected: " + done.cause());
+                            listener.onSilence(requestedNs);
+                            fail("cannot connect to discovery: " + future.cause());
                         }
                     });
         }
 
-        private void ask() {
-            DefaultFullHttpRequest call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    "/v1/endpoints?watch=1" + (revision == NONE ? "" : "&after=" + revision));
-            call.headers().set(HttpHeaderNames.HOST,
+        private void sendRequest() {
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+                    "/v1/endpoints?watch=1" + (revision == NO_REVISION ? "" : "&after=" + revision));
+            request.headers().set(HttpHeaderNames.HOST,
                     address.getAddress().getHostAddress() + ":" + address.getPort());
-            channel.writeAndFlush(call);
-            // What the node itself was held up until now is no silence of discovery.
-            calledNs = System.nanoTime();
-            expectWithin(BEGUN_AGAIN_MS);
+            channel.writeAndFlush(request);
+            // Lag of this node's own event loop before this moment must not count as silence of discovery.
+            // The first timeout comes early, for an early report of the silence; it is extended to
+            // callTimeoutMs.
+            requestedNs = System.nanoTime();
+            restartTimeout(REPEATED_CALL_TIMEOUT_MS);
         }
 
         void close() {
-            over = true;
-            silence.cancel(false);
+            closed = true;
+            timeout.cancel(false);
             if (channel != null) {
                 channel.close();
             }
         }
 
         private void fail(String reason) {
-            if (over) {
+            if (closed) {
                 return;
             }
             close();
@@ -226,7 +261,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
-                if (!over) {
+                if (!closed) {
                     read(ctx, message);
                 }
             } finally {
@@ -237,80 +272,89 @@
         private void read(ChannelHandlerContext ctx, Object message) {
             if (message instanceof HttpResponse head) {
                 if (head.decoderResult().isFailure() || !head.status().equals(HttpResponseStatus.OK)) {
-                    fail("answered " + head.status());
+                    fail("discovery answered " + head.status());
                     return;
                 }
-                headNs = System.nanoTime();
-                silentCalls = 0;
-                expectWithin(silentMs);
+                headReceivedNs = System.nanoTime();
+                unansweredCalls = 0;
+                restartTimeout(idleTimeoutMs);
             }
             if (message instanceof HttpContent content) {
                 if (content.decoderResult().isFailure()) {
-                    fail("malformed: " + content.decoderResult().cause());
+                    fail("malformed response: " + content.decoderResult().cause());
                     return;
                 }
                 if (content.content().isReadable()) {
-                    told = true;
+                    bodyReceived = true;
                     ctx.fireChannelRead(content.content().retain());
                 }
                 if (message instanceof LastHttpContent) {
-                    fail("ended");
-                } else if (!over) {
-                    expectWithin(framing.isMidMessage() ? Math.min(silentMs, PIECE_MS) : silentMs);
+                    fail("discovery ended the response");
+                } else if (!closed) {
+                    restartTimeout(messageDecoder.isMidMessage()
+                            ? Math.min(idleTimeoutMs, MAX_MESSAGE_GAP_MS) : idleTimeoutMs);
                 }
             }
         }
 
-        private void expectWithin(long ms) {
-            if (silence != null) {
-                silence.cancel(false);
+        private void restartTimeout(long ms) {
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            silence = loop.schedule(this::silent, ms, TimeUnit.MILLISECONDS);
+            timeout = loop.schedule(this::onTimeout, ms, TimeUnit.MILLISECONDS);
         }
 
-        /** A loop that is behind runs its timers first: what has come by now is no silence. */
-        private void silent() {
-            ScheduledFuture<?> due = silence;
+        /**
+         * Handles a timeout. A lagging event loop runs its timers before it reads sockets, so data that has
+         * arrived by now is read first and restarts the timeout.
+         */
+        private void onTimeout() {
+            ScheduledFuture<?> expired = timeout;
             if (channel != null) {
                 catchUp();
             }
-            if (silence == due) {
-                if (headNs == 0) {
-                    // However late this comes: discovery was not there when it was called.
-                    listener.onSilence(calledNs);
+            if (timeout == expired) {
+                if (headReceivedNs == 0) {
+                    // Holds however late this timer runs: discovery did not respond when it was called.
+                    listener.onSilence(requestedNs);
                 }
-                long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledNs);
-                if (headNs == 0 && waitedMs < patienceMs) {
-                    expectWithin(patienceMs - waitedMs);
+                long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - requestedNs);
+                if (headReceivedNs == 0 && waitedMs < callTimeoutMs) {
+                    restartTimeout(callTimeoutMs - waitedMs);
                     return;
                 }
-                silentCalls += headNs == 0 ? 1 : 0;
-                fail("silent");
+                unansweredCalls += headReceivedNs == 0 ? 1 : 0;
+                fail("no data from discovery in time");
             }
         }
 
+        /** Reads from the socket until nothing more has arrived. */
         private void catchUp() {
-            long before = -1;
-            for (int i = 0; i < MOST_READS && before != received && !over && channel.isActive(); i++) {
-                before = received;
+            long previousBytes = -1;
+            for (int i = 0; i < MAX_CATCH_UP_READS && previousBytes != receivedBytes && !closed
+                    && channel.isActive(); i++) {
+                previousBytes = receivedBytes;
                 ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
             }
         }
 
-        /** Counts what comes, to tell when all has been read. */
-        private final class ByteCount extends ChannelInboundHandlerAdapter {
+        /** Counts received bytes, so that {@link #catchUp} can tell when everything has been read. */
+        private final class ByteCounter extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
-                received += ((ByteBuf) message).readableBytes();
+                receivedBytes += ((ByteBuf) message).readableBytes();
                 ctx.fireChannelRead(message);
             }
         }
 
-        /** The versions of an address only grow: one that goes back asks for the whole list as it is now. */
-        private void take(ServerList list) {
+        /**
+         * Applies a message. The revisions of an address only grow; if one goes back, the watch fails and the
+         * next call requests the full list.
+         */
+        private void apply(ServerList list) {
             if (list.revision() < revision) {
-                revision = NONE;
-                fail("went back to version " + list.revision());
+                revision = NO_REVISION;
+                fail("revision went back to " + list.revision());
                 return;
             }
             revision = list.revision();
@@ -319,25 +363,25 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail("broken");
+            fail("connection to discovery closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            fail("broken: " + cause);
+            fail("connection to discovery failed: " + cause);
         }
 
-        /** The messages one by one. */
-        private final class Messages extends ChannelInboundHandlerAdapter {
+        /** Parses and applies the messages one by one. */
+        private final class MessageHandler extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 ByteBuf json = (ByteBuf) message;
                 try {
-                    if (!over) {
-                        take(ServerList.parse(json.toString(StandardCharsets.UTF_8)));
+                    if (!closed) {
+                        apply(ServerList.parse(json.toString(StandardCharsets.UTF_8)));
                     }
                 } catch (IllegalArgumentException e) {
-                    fail("malformed: " + e.getMessage());
+                    fail("malformed message: " + e.getMessage());
                 } finally {
                     json.release();
                 }
@@ -345,9 +389,11 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                // The decoder's own words may hold all that came.
-                fail(cause instanceof DecoderException ? "malformed: " + cause.getClass().getSimpleName()
-                        : "broken: " + cause);
+                // The text of a DecoderException may contain everything received, so only its class is
+                // reported.
+                fail(cause instanceof DecoderException
+                        ? "malformed message: " + cause.getClass().getSimpleName()
+                        : "connection to discovery failed: " + cause);
             }
         }
     }
--- a/src/main/java/cedarrelay/node/ServerList.java
+++ b/src/main/java/cedarrelay/node/ServerList.java
@@ -13,22 +13,29 @@
 import com.google.gson.JsonParser;
 
 /**
- * A message of discovery: the whole list of servers, or what changed since the version before.
+ * A message of discovery: the full server list, or the servers that changed since an earlier revision.
  *
- * @param revision the version of the list
- * @param all whether it is the whole list
+ * @param revision the revision of the list that the message leads to
+ * @param all whether it is the full list
+ * @param targets the servers of the list, or those that changed
  */
 record ServerList(long revision, boolean all, List<Target> targets) {
 
     /**
-     * One server in it.
+     * A server of the list.
      *
-     * @param bootMs when it last started, Unix time in milliseconds; 0 for long ago
+     * @param zone the name of its availability zone; empty if the list doesn't say
+     * @param weight its capacity relative to the other servers; 1 if the list doesn't say
+     * @param bootMs when its process last started, Unix time in milliseconds; 0 if the list doesn't say
      */
     record Target(String id, InetSocketAddress address, String zone, int cell, ServerState state,
             double weight, long bootMs) { }
 
-    /** Throws IllegalArgumentException with a short reason if the text is not such a message. */
+    /**
+     * Parses a message.
+     *
+     * @throws IllegalArgumentException with a short reason if the text is not a valid message
+     */
     static ServerList parse(String json) {
         try {
             return of(JsonParser.parseString(json));
@@ -37,23 +44,31 @@
         }
     }
 
-    /** A message is taken whole or not at all: half of one would leave a list that never was. */
+    /**
+     * Converts a parsed message. One invalid server makes the whole message invalid: applied in part, it
+     * would result in a list that discovery never had.
+     *
+     * @throws IllegalArgumentException with a short reason if it is not a valid message
+     */
     static ServerList of(JsonElement json) {
         try {
             JsonObject message = json.getAsJsonObject();
             List<Target> targets = new ArrayList<>();
             for (JsonElement target : message.getAsJsonArray("targets")) {
-                targets.add(target(target.getAsJsonObject()));
+                targets.add(parseTarget(target.getAsJsonObject()));
             }
-            return new ServerList(need(message, "rev").getAsLong(), need(message, "all").getAsBoolean(),
-                    List.copyOf(targets));
+            return new ServerList(required(message, "rev").getAsLong(),
+                    required(message, "all").getAsBoolean(), List.copyOf(targets));
         } catch (IllegalStateException | NullPointerException | UnsupportedOperationException
                 | ClassCastException e) {
-            throw new IllegalArgumentException("not a list of servers: " + e.getMessage(), e);
+            throw new IllegalArgumentException("not a server list: " + e.getMessage(), e);
         }
     }
 
-    /** This list, if it is a whole one, as the next message leaves it. */
+    /**
+     * Returns the full list that results from applying a message to this list, without removed servers. This
+     * list must be a full one.
+     */
     ServerList with(ServerList next) {
         Map<String, Target> byId = new LinkedHashMap<>();
         if (!next.all) {
@@ -64,9 +79,10 @@
         return new ServerList(next.revision, true, List.copyOf(byId.values()));
     }
 
-    private static Target target(JsonObject entry) {
-        String state = need(entry, "state").getAsString();
-        return new Target(need(entry, "uid").getAsString(), address(need(entry, "endpoint").getAsString()),
+    private static Target parseTarget(JsonObject entry) {
+        String state = required(entry, "state").getAsString();
+        return new Target(required(entry, "uid").getAsString(),
+                address(required(entry, "endpoint").getAsString()),
                 entry.has("az") ? entry.get("az").getAsString() : "",
                 entry.has("pod_group") ? entry.get("pod_group").getAsInt() : 0,
                 switch (state) {
@@ -74,19 +90,22 @@
                     case "Terminating" -> ServerState.DRAINING;
                     case "Gone" -> ServerState.GONE;
                     default -> throw new IllegalArgumentException("unknown state " + state);
-                }, entry.has("capacity_hint") ? size(entry.get("capacity_hint").getAsDouble()) : 1,
+                }, entry.has("capacity_hint") ? finiteWeight(entry.get("capacity_hint").getAsDouble()) : 1,
                 entry.has("boot_ms") ? entry.get("boot_ms").getAsLong() : 0);
     }
 
-    /** JSON can write numbers that are beyond a double: all shares of the traffic would be 0 or none. */
-    private static double size(double value) {
+    /**
+     * Checks that a weight is finite. JSON can hold numbers beyond the range of a double; with an infinite
+     * weight all shares of the traffic would be 0 or not a number.
+     */
+    private static double finiteWeight(double value) {
         if (!Double.isFinite(value)) {
             throw new IllegalArgumentException("capacity_hint is not finite");
         }
         return value;
     }
 
-    private static JsonElement need(JsonObject object, String name) {
+    private static JsonElement required(JsonObject object, String name) {
         JsonElement value = object.get(name);
         if (value == null) {
             throw new IllegalArgumentException(name + " is missing");
@@ -94,7 +113,12 @@
         return value;
     }
 
-    /** A numeric host and a port. There is no DNS, and looking a name up would block. */
+    /**
+     * Parses a numeric IP address and a port, such as {@code 127.0.0.1:80} or {@code [::1]:80}. Host names
+     * are rejected: there is no DNS, and a lookup would block the event loop.
+     *
+     * @throws IllegalArgumentException if the text has another form
+     */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/cedarrelay/node/ServerPool.java
+++ b/src/main/java/cedarrelay/node/ServerPool.java
@@ -32,73 +32,87 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /**
- * Connections to servers, one request on each at a time, and the attempts on them. It sends where it is
- * told, once, and reports how that ended; nothing here sends again.
+ * A pool of connections to servers, each of which carries one request at a time. An attempt is sent to the
+ * given server at most once, and its result is reported exactly once; the pool itself never retries.
+ *
+ * <p>Not thread-safe: all methods are called on the event loop.
  */
 final class ServerPool {
-    private static final String TURNED_AWAY = "X-Turned-Away";
-    private static final long SWEEP_MS = 500;
-    /** How long a connection rests behind an answer: a second copy of it may come some milliseconds late, and
-     * would be taken for the answer to the next request. */
+    private static final String REJECTED_HEADER = "X-Turned-Away";
+    private static final long IDLE_SWEEP_INTERVAL_MS = 500;
+    /**
+     * Quarantine of a connection after a response, before it is reused. A duplicate of the response may
+     * arrive some milliseconds late and would be taken for the response to the next request.
+     */
     static final long REST_US = 10_000;
 
-    /** Who wants an attempt: what to send, and where to report. */
+    /** The owner of an attempt: supplies the request and receives the result. */
     interface Caller {
-        /** Whether it is still to go out, asked right before its first byte. */
+        /** Whether the attempt is still to be sent; called right before its first byte is written. */
         default boolean isWanted() {
             return true;
         }
 
-        /** The message, asked for when it goes out. */
+        /** Creates the request; called once, when it is written. */
         FullHttpRequest message();
 
-        /** The one report on the attempt; the answer is there when the result is OK or ERROR. */
+        /**
+         * Reports the result, exactly once for each attempt.
+         *
+         * @param answer the response if the result is OK, ERROR or FULL, else null
+         */
         void ended(Result result, Answer answer);
     }
 
-    /** A server as the pool knows it. */
+    /** A server, its idle connections and the attempts that wait for a connection. */
     private static final class Server {
         InetSocketAddress address;
         long bootMs;
-        boolean gone;
+        boolean removed;
         boolean draining;
-        /** Counts addresses and processes: a connection of an earlier one is not reused. */
+        /** Grows with each change of address and each restart; earlier connections are not reused. */
         int generation;
-        int dialing;
-        /** Whether a timer runs for those that wait for a connection to have rested. */
-        boolean timed;
-        /** When it last answered something. */
-        long heardNs = System.nanoTime();
-        /** Most recently used first. */
+        /** Connects of the present generation that have neither succeeded nor failed. */
+        int pendingConnects;
+        /** Whether a timer runs that sends a waiting attempt when a connection's quarantine ends. */
+        boolean sendTimerSet;
+        /** When the last complete response was received, by {@link System#nanoTime}. */
+        long lastResponseNs = System.nanoTime();
+        /** Idle connections, the most recently used first. */
         final Deque<Connection> idle = new ArrayDeque<>();
+        /** Attempts that wait for a connection, the oldest first. */
         final Deque<Attempt> waiting = new ArrayDeque<>();
     }
 
-    /** One request on its way to one server. */
+    /** A request that is sent, or is to be sent, to one server. */
     final class Attempt {
         private final Server server;
         private final Caller caller;
         private Connection connection;
         private long sentNs;
-        private boolean over;
+        private boolean finished;
 
         private Attempt(Server server, Caller caller) {
             this.server = server;
             this.caller = caller;
         }
 
-        /** Whether anything of it may have reached a server. */
+        /** Whether a connection has been assigned, so that bytes may have reached the server. */
         boolean isOut() {
             return connection != null;
         }
 
         /**
-         * Stops waiting. What never went out is MOOT and stays unsent, but for want of a connection when its
-         * time is up: a server that never comes up must not look as if nothing had been tried. What was not
-         * handed over whole can't have run; only what was is reported as the caller says.
+         * Abandons the attempt if it has not ended yet, and reports it. An attempt without a connection is
+         * never sent and is reported as MOOT, or as CONNECT_FAILED if it timed out: an unreachable server
+         * must not look as if nothing had been tried. A request that was not written completely can't have
+         * run and is reported as CONNECT_FAILED. Only a completely written one is reported with the given
+         * result.
+         *
+         * @param result TIMEOUT if no response came in time, CANCELLED if the attempt is no longer needed
          */
         void giveUp(Result result) {
-            if (over) {
+            if (finished) {
                 return;
             }
             if (connection == null) {
@@ -106,35 +120,36 @@
                 end(result == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
                 return;
             }
-            Connection used = connection;
+            Connection usedConnection = connection;
             if (result == Result.TIMEOUT) {
-                // A loop that is behind may run its timers before it reads what came in time: the system may
-                // hold the answer already. One that comes just now passes too: it is there to be had.
-                used.isQuiet();
-                if (over) {
+                // A lagging event loop may run this timer before it reads a response that arrived in time, so
+                // the socket is read first. A response that arrives only now is used as well.
+                usedConnection.isOpenAfterRead();
+                if (finished) {
                     return;
                 }
             }
-            used.attempt = null;
-            // Its answer may still come: the connection can't carry another request.
-            used.channel.close();
-            if (result == Result.TIMEOUT && server.heardNs - sentNs < 0) {
-                // Nothing from it all the while: fallen silent, it would cost a time-out on each of these.
+            usedConnection.attempt = null;
+            // The response may still arrive, so the connection can't carry another request.
+            usedConnection.channel.close();
+            if (result == Result.TIMEOUT && server.lastResponseNs - sentNs < 0) {
+                // The server has completed no response since this attempt was sent. If it is unresponsive,
+                // each of its idle connections would cost another timeout.
                 closeIdle(server);
             }
-            end(used.written ? result : Result.CONNECT_FAILED, null);
+            end(usedConnection.fullyWritten ? result : Result.CONNECT_FAILED, null);
         }
 
-        /** Stops waiting if its last byte has not been handed over: it must not go out any more. */
+        /** Abandons the attempt as CANCELLED if its request has not been written completely. */
         void giveUpUnlessSent() {
-            if (connection == null || !connection.written) {
+            if (connection == null || !connection.fullyWritten) {
                 giveUp(Result.CANCELLED);
             }
         }
 
         private void end(Result result, Answer answer) {
-            if (!over) {
-                over = true;
+            if (!finished) {
+                finished = true;
                 caller.ended(result, answer);
             }
         }
@@ -143,88 +158,102 @@
     private final EventLoop loop;
     private final Sockets sockets;
     private final Bootstrap bootstrap;
-    private final long keepIdleNs;
-    private final long restNs;
-    private final ScheduledFuture<?> sweeper;
+    private final long maxIdleNs;
+    private final long quarantineNs;
+    private final ScheduledFuture<?> idleSweep;
     private final Map<String, Server> servers = new HashMap<>();
     private final BooleanSupplier mayWrite;
 
-    /** A pool that may write at any time. */
-    ServerPool(EventLoop loop, Sockets sockets, long dialTimeoutUs, long connIdleUs, long restUs) {
-        this(loop, sockets, dialTimeoutUs, connIdleUs, restUs, () -> true);
+    /** Creates a pool that may write at any time; for the parameters see the other constructor. */
+    ServerPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long connIdleUs, long quarantineUs) {
+        this(loop, sockets, connectTimeoutUs, connIdleUs, quarantineUs, () -> true);
     }
 
     /**
-     * A pool that asks before each first byte whether it may be written now; what may not waits for
-     * {@link #resume}. The question may bring a new list, and so call this pool.
+     * Creates a pool that checks before the first byte of each request whether it may be written now. If not,
+     * the attempt waits for {@link #resume}.
+     *
+     * @param connIdleUs after how long the servers close an idle connection, in microseconds
+     * @param quarantineUs how long a connection is not reused after a response, in microseconds
+     * @param mayWrite the check; it may apply a new server list and so call {@link #update}
      */
-    ServerPool(EventLoop loop, Sockets sockets, long dialTimeoutUs, long connIdleUs, long restUs,
+    ServerPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long connIdleUs, long quarantineUs,
             BooleanSupplier mayWrite) {
         this.loop = loop;
         this.mayWrite = mayWrite;
         this.sockets = sockets;
-        restNs = TimeUnit.MICROSECONDS.toNanos(restUs);
-        // A request written to a connection that the server is just closing may have run for all we know.
-        keepIdleNs = TimeUnit.MICROSECONDS.toNanos(connIdleUs) / 2;
+        quarantineNs = TimeUnit.MICROSECONDS.toNanos(quarantineUs);
+        // Half the servers' idle timeout: a request written while the server closes its connection is lost,
+        // and the pool can't tell whether it has run.
+        maxIdleNs = TimeUnit.MICROSECONDS.toNanos(connIdleUs) / 2;
         bootstrap = new Bootstrap().group(loop).disableResolver()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000))
                 .option(ChannelOption.TCP_NODELAY, true);
         sockets.serverSide(this::closeOldestIdle);
-        sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        idleSweep = loop.scheduleWithFixedDelay(this::closeExpiredIdle, IDLE_SWEEP_INTERVAL_MS,
+                IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes what is idle and keeps nothing that is not. */
+    /** Closes the idle connections now, and the other ones when their attempts have ended. */
     void close() {
-        sweeper.cancel(false);
+        idleSweep.cancel(false);
         for (Server server : servers.values()) {
-            server.gone = true;
+            server.removed = true;
             closeIdle(server);
         }
     }
 
-    /** Whether the list lets this server be sent anything new. */
+    /** Whether new requests may be sent to this server: it is listed and not draining. */
     boolean admits(String serverId) {
         Server server = servers.get(serverId);
-        return server != null && !server.gone && !server.draining;
+        return server != null && !server.removed && !server.draining;
     }
 
-    /** Takes in the list: new servers, moved ones, restarted ones and those that are gone. */
+    /**
+     * Applies a server list or a change of it. Idle connections to an earlier address or process are closed.
+     * Attempts that wait for a connection to a restarted, draining or removed server end as MOOT.
+     */
     void update(ServerList list) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (ServerList.Target target : list.targets()) {
-            named.add(target.id());
+            listedIds.add(target.id());
             Server server = servers.computeIfAbsent(target.id(), id -> new Server());
             boolean moved = server.address != null && !server.address.equals(target.address());
             boolean restarted = target.bootMs() > server.bootMs;
             server.address = target.address();
             server.bootMs = target.bootMs();
-            server.gone = target.state() == ServerState.GONE;
+            server.removed = target.state() == ServerState.GONE;
             server.draining = target.state() == ServerState.DRAINING;
             if (moved || restarted) {
                 server.generation++;
-                server.dialing = 0;
+                server.pendingConnects = 0;
                 closeIdle(server);
                 if (restarted) {
-                    // Decided for the process before: the new one may take far less, so decide anew.
-                    endWaiting(server);
+                    // These attempts were meant for the old process. The new one may handle far less load, so
+                    // the balancer decides again.
+                    endWaitingAttempts(server);
                 }
-                // Those that wait were dialling the old address.
+                // The connects started for the waiting attempts went to the old address.
                 for (int i = server.waiting.size(); i > 0; i--) {
-                    dial(server);
+                    openConnection(server);
                 }
             }
         }
         if (list.all()) {
-            servers.forEach((id, server) -> server.gone |= !named.contains(id));
+            servers.forEach((id, server) -> server.removed |= !listedIds.contains(id));
         }
-        servers.values().stream().filter(s -> s.gone).forEach(ServerPool::closeIdle);
-        servers.values().stream().filter(s -> s.gone || s.draining).forEach(ServerPool::endWaiting);
-        servers.values().removeIf(s -> s.gone);
+        servers.values().stream().filter(s -> s.removed).forEach(ServerPool::closeIdle);
+        servers.values().stream().filter(s -> s.removed || s.draining)
+                .forEach(ServerPool::endWaitingAttempts);
+        servers.values().removeIf(s -> s.removed);
     }
 
-    /** Starts an attempt; it may be reported before this returns. */
+    /**
+     * Starts an attempt. Its result may be reported before this method returns: CONNECT_FAILED if the server
+     * is unknown, MOOT if it drains or the attempt is no longer wanted.
+     */
     Attempt start(String serverId, Caller caller) {
-        boolean now = mayWrite.getAsBoolean();
+        boolean mayWriteNow = mayWrite.getAsBoolean();
         Server server = servers.get(serverId);
         Attempt attempt = new Attempt(server, caller);
         if (server == null) {
@@ -235,7 +264,7 @@
             attempt.end(Result.MOOT, null);
             return attempt;
         }
-        Connection connection = now ? takeIdle(server) : null;
+        Connection connection = mayWriteNow ? takeIdle(server) : null;
         if (connection != null && !caller.isWanted()) {
             server.idle.push(connection);
             attempt.end(Result.MOOT, null);
@@ -243,48 +272,53 @@
             connection.send(attempt);
         } else {
             server.waiting.add(attempt);
-            dialForWaiting(server);
+            connectForWaiting(server);
         }
         return attempt;
     }
 
-    /** Attempts go out on connections that are coming up or rest; more is dialled for those without. */
-    private void dialForWaiting(Server server) {
-        while (server.waiting.size() > server.dialing + server.idle.size()) {
-            dial(server);
+    /**
+     * Opens a connection for each waiting attempt that neither a pending connect nor an idle connection can
+     * carry. Sets a timer for the end of the next quarantine.
+     */
+    private void connectForWaiting(Server server) {
+        while (server.waiting.size() > server.pendingConnects + server.idle.size()) {
+            openConnection(server);
         }
-        if (!server.waiting.isEmpty() && !server.idle.isEmpty() && !server.timed) {
-            server.timed = true;
-            long restedNs = server.idle.peekLast().idleSince + restNs - System.nanoTime();
-            loop.schedule(() -> sendRested(server), Math.max(0, restedNs), TimeUnit.NANOSECONDS);
+        if (!server.waiting.isEmpty() && !server.idle.isEmpty() && !server.sendTimerSet) {
+            server.sendTimerSet = true;
+            long untilReusableNs = server.idle.peekLast().idleSinceNs + quarantineNs - System.nanoTime();
+            loop.schedule(() -> sendAfterQuarantine(server), Math.max(0, untilReusableNs),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Sends what had to wait until writing is allowed. */
+    /** Sends the attempts that waited for permission to write; called once writing is allowed again. */
     void resume() {
         for (Server server : new ArrayList<>(servers.values())) {
             for (int i = server.waiting.size(); i > 0 && !server.idle.isEmpty(); i--) {
-                sendRested(server);
+                sendAfterQuarantine(server);
             }
         }
     }
 
-    private void sendRested(Server server) {
-        server.timed = false;
+    private void sendAfterQuarantine(Server server) {
+        server.sendTimerSet = false;
         if (!mayWrite.getAsBoolean()) {
             return;
         }
         Connection connection = server.waiting.isEmpty() ? null : takeIdle(server);
         if (connection != null) {
-            connection.park();
+            connection.sendNextOrIdle();
         }
-        dialForWaiting(server);
+        connectForWaiting(server);
     }
 
+    /** Removes a usable connection from the idle ones and returns it, or null if there is none. */
     private Connection takeIdle(Server server) {
-        for (Connection next = rested(server); next != null; next = rested(server)) {
+        for (Connection next = findReusable(server); next != null; next = findReusable(server)) {
             server.idle.remove(next);
-            if (System.nanoTime() - next.idleSince <= keepIdleNs && next.isQuiet()) {
+            if (System.nanoTime() - next.idleSinceNs <= maxIdleNs && next.isOpenAfterRead()) {
                 return next;
             }
             next.channel.close();
@@ -292,74 +326,82 @@
         return null;
     }
 
-    private Connection rested(Server server) {
-        long beforeNs = System.nanoTime() - restNs;
+    /** Returns the most recently used idle connection whose quarantine is over, or null. */
+    private Connection findReusable(Server server) {
+        long reusableSinceNs = System.nanoTime() - quarantineNs;
         for (Connection connection : server.idle) {
-            if (connection.idleSince - beforeNs <= 0) {
+            if (connection.idleSinceNs - reusableSinceNs <= 0) {
                 return connection;
             }
         }
         return null;
     }
 
-    /** Its connection may come up late, when nothing new may go there any more. */
-    private static void endWaiting(Server server) {
+    /**
+     * Ends the waiting attempts as MOOT: by the time that a connection is established, nothing new may be
+     * sent to the server.
+     */
+    private static void endWaitingAttempts(Server server) {
         for (Attempt next = server.waiting.poll(); next != null; next = server.waiting.poll()) {
             next.end(Result.MOOT, null);
         }
     }
 
-    private void dial(Server server) {
+    private void openConnection(Server server) {
         int generation = server.generation;
-        server.dialing++;
+        server.pendingConnects++;
         if (!sockets.addServer()) {
-            dialFailed(server, generation);
+            connectFailed(server, generation);
             return;
         }
         NioSocketChannel channel;
         try {
             channel = new NioSocketChannel();
         } catch (ChannelException e) {
-            // Out of descriptors, most likely: an idle one less lets the next dial through.
+            // Most likely out of file descriptors: closing an idle connection lets the next connect succeed.
             sockets.removeServer();
             sockets.closeIdle();
-            dialFailed(server, generation);
+            connectFailed(server, generation);
             return;
         }
         channel.closeFuture().addListener(closed -> sockets.removeServer());
         Connection connection = new Connection(server, generation, channel);
         bootstrap.clone().channelFactory(() -> channel).handler(new ChannelInitializer<SocketChannel>() {
             @Override
-            protected void initChannel(SocketChannel fresh) {
-                fresh.pipeline().addLast(connection.new IdleGuard(),
+            protected void initChannel(SocketChannel ch) {
+                ch.pipeline().addLast(connection.new IdleGuard(),
                         new AnswerReader.Decoder(), new HttpRequestEncoder(), connection);
             }
-        }).connect(server.address).addListener(done -> {
-            // One whose end has come with it never was of any use, and those in line wait for nothing else.
-            if (!done.isSuccess() || !connection.isQuiet()) {
-                dialFailed(server, generation);
+        }).connect(server.address).addListener(future -> {
+            // A connection that the server has closed already counts as failed: no attempt can use it, and
+            // the waiting attempts may have no other.
+            if (!future.isSuccess() || !connection.isOpenAfterRead()) {
+                connectFailed(server, generation);
             } else {
-                server.dialing -= generation == server.generation ? 1 : 0;
-                connection.park();
+                server.pendingConnects -= generation == server.generation ? 1 : 0;
+                connection.sendNextOrIdle();
             }
         });
     }
 
-    /** Each dial answers for one of those that wait: the first in line, if it is not to have another's. */
-    private void dialFailed(Server server, int generation) {
+    /**
+     * Ends the oldest waiting attempt as CONNECT_FAILED, unless a pending connect or an idle connection is
+     * left for each waiting attempt.
+     */
+    private void connectFailed(Server server, int generation) {
         if (generation != server.generation) {
             return;
         }
-        server.dialing--;
-        if (server.waiting.size() > server.dialing + server.idle.size()) {
+        server.pendingConnects--;
+        if (server.waiting.size() > server.pendingConnects + server.idle.size()) {
             server.waiting.poll().end(Result.CONNECT_FAILED, null);
         }
     }
 
-    private void sweep() {
-        long now = System.nanoTime();
+    private void closeExpiredIdle() {
+        long nowNs = System.nanoTime();
         for (Server server : servers.values()) {
-            while (!server.idle.isEmpty() && now - server.idle.peekLast().idleSince > keepIdleNs) {
+            while (!server.idle.isEmpty() && nowNs - server.idle.peekLast().idleSinceNs > maxIdleNs) {
                 server.idle.pollLast().channel.close();
             }
         }
@@ -371,11 +413,12 @@
         idle.forEach(c -> c.channel.close());
     }
 
+    /** Closes the connection that has been idle longest; returns false if none is idle. */
     private boolean closeOldestIdle() {
         Server oldest = null;
         for (Server server : servers.values()) {
             if (!server.idle.isEmpty() && (oldest == null
-                    || server.idle.peekLast().idleSince - oldest.idle.peekLast().idleSince < 0)) {
+                    || server.idle.peekLast().idleSinceNs - oldest.idle.peekLast().idleSinceNs < 0)) {
                 oldest = server;
             }
         }
@@ -386,15 +429,17 @@
         return true;
     }
 
-    /** One connection: idle, or with the one attempt that it carries. */
+    /** A connection, idle or carrying one attempt. */
     private final class Connection extends ChannelInboundHandlerAdapter {
         private final Server server;
         private final int generation;
         private final Channel channel;
         private Attempt attempt;
-        private boolean written;
-        private long idleSince;
+        /** Whether the kernel has accepted the whole request of the present attempt. */
+        private boolean fullyWritten;
+        private long idleSinceNs;
         private AnswerReader reader;
+        /** Whether the connection can be kept after the present response. */
         private boolean reusable;
 
         Connection(Server server, int generation, Channel channel) {
@@ -403,44 +448,48 @@
             this.channel = channel;
         }
 
-        /** Waits for the next attempt, also if some are in line: they have dials of their own meanwhile. */
-        void putBack() {
-            if (generation != server.generation || server.gone || !isQuiet()) {
+        /**
+         * Makes the connection idle after a response, or closes it. Attempts may be waiting, but the
+         * quarantine comes first; they also have connects of their own.
+         */
+        void returnToIdle() {
+            if (generation != server.generation || server.removed || !isOpenAfterRead()) {
                 channel.close();
                 return;
             }
-            idleSince = System.nanoTime();
+            idleSinceNs = System.nanoTime();
             server.idle.push(this);
-            dialForWaiting(server);
+            connectForWaiting(server);
         }
 
-        /** Carries the first attempt in line, or waits for one. */
-        void park() {
-            boolean now = mayWrite.getAsBoolean();
-            if (generation != server.generation || !isQuiet()) {
+        /** Sends the oldest waiting attempt that is still wanted; without one, makes the connection idle. */
+        void sendNextOrIdle() {
+            boolean mayWriteNow = mayWrite.getAsBoolean();
+            if (generation != server.generation || !isOpenAfterRead()) {
                 channel.close();
                 return;
             }
-            Attempt next = now ? server.waiting.poll() : null;
+            Attempt next = mayWriteNow ? server.waiting.poll() : null;
             while (next != null && !next.caller.isWanted()) {
                 next.end(Result.MOOT, null);
                 next = server.waiting.poll();
             }
             if (next != null) {
                 send(next);
-            } else if (server.gone) {
+            } else if (server.removed) {
                 channel.close();
             } else {
-                idleSince = System.nanoTime();
+                idleSinceNs = System.nanoTime();
                 server.idle.push(this);
             }
         }
 
         /**
-         * Whether nothing has come that was not asked for, nor the end. What the system already holds is
-         * read first: sent right behind an answer, it would else be taken for the next one.
+         * Reads what the kernel has received already, and returns whether the connection is still open.
+         * Reading closes an idle connection on unsolicited data, such as a duplicate response, which would
+         * otherwise be taken for the response to the next request.
          */
-        boolean isQuiet() {
+        boolean isOpenAfterRead() {
             if (channel.isActive()) {
                 ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
             }
@@ -451,15 +500,15 @@
             attempt = next;
             next.connection = this;
             next.sentNs = System.nanoTime();
-            written = false;
+            fullyWritten = false;
             reader = new AnswerReader();
-            // The future tells whether the kernel has taken the last byte; Netty never writes it twice.
-            channel.writeAndFlush(next.caller.message()).addListener(done -> {
+            // The write succeeds once the kernel has accepted the last byte; Netty never writes it twice.
+            channel.writeAndFlush(next.caller.message()).addListener(future -> {
                 if (attempt != next) {
                     return;
                 }
-                if (done.isSuccess()) {
-                    written = true;
+                if (future.isSuccess()) {
+                    fullyWritten = true;
                 } else {
                     attempt = null;
                     channel.close();
@@ -479,21 +528,24 @@
 
         private void read(Object message) {
             if (attempt == null || reader.isWhole()) {
-                // Nothing was asked for, or more came than the answer.
+                // Data without a request, or after the end of the response.
                 reusable = false;
-                drop();
+                discardIfIdle();
                 return;
             }
             try {
                 if (message instanceof HttpObject part && reader.read(part)) {
-                    reusable = written && reader.isKeepAlive();
+                    reusable = fullyWritten && reader.isKeepAlive();
                 }
             } catch (AnswerReader.Spoilt e) {
-                broken();
+                onBroken();
             }
         }
 
-        /** The report waits for the end of what came at once, so that its connection can be used again. */
+        /**
+         * Reports a complete response. Doing so after the whole read shows first whether more data follows
+         * the response, which rules out reuse of the connection.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (isAnswered()) {
@@ -506,32 +558,36 @@
         }
 
         private void finish() {
-            Attempt done = attempt;
+            Attempt answered = attempt;
             Answer answer = reader.answer();
-            server.heardNs = System.nanoTime();
-            boolean away = (answer.status() == 503 || answer.status() == 504)
-                    && "1".equals(reader.header(TURNED_AWAY));
+            server.lastResponseNs = System.nanoTime();
+            boolean rejected = (answer.status() == 503 || answer.status() == 504)
+                    && "1".equals(reader.header(REJECTED_HEADER));
             attempt = null;
             reader = null;
             if (reusable) {
-                putBack();
+                returnToIdle();
             } else {
                 channel.close();
             }
-            done.end(answer.status() == 200 ? Result.OK : away ? Result.FULL : Result.ERROR, answer);
+            answered.end(answer.status() == 200 ? Result.OK : rejected ? Result.FULL : Result.ERROR, answer);
         }
 
-        /** The connection or what came on it is broken: only a request not handed over whole never ran. */
-        private void broken() {
+        /**
+         * Ends the attempt after a broken connection or a malformed response. The request may have run if it
+         * was written completely (RESET), else it can't have run (CONNECT_FAILED).
+         */
+        private void onBroken() {
             Attempt failed = attempt;
             attempt = null;
-            drop();
+            discardIfIdle();
             if (failed != null) {
-                failed.end(written ? Result.RESET : Result.CONNECT_FAILED, null);
+                failed.end(fullyWritten ? Result.RESET : Result.CONNECT_FAILED, null);
             }
         }
 
-        private void drop() {
+        /** Removes the connection from the idle ones, and closes it unless it carries an attempt. */
+        private void discardIfIdle() {
             server.idle.remove(this);
             if (attempt == null) {
                 channel.close();
@@ -540,31 +596,33 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ended();
+            onClosed();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ended();
+            onClosed();
         }
 
-        private void ended() {
+        private void onClosed() {
             if (isAnswered()) {
                 reusable = false;
                 finish();
             } else {
-                broken();
+                onBroken();
             }
         }
 
-        /** Sees bytes before the codec does: part of an answer on an idle connection must not wait there
-         * to become the head of the next one. */
+        /**
+         * Discards data on an idle connection before it reaches the codec, which would otherwise keep part of
+         * a response and take it for the beginning of the next one.
+         */
         private final class IdleGuard extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 if (attempt == null) {
                     ReferenceCountUtil.release(message);
-                    drop();
+                    discardIfIdle();
                 } else {
                     ctx.fireChannelRead(message);
                 }
