--- a/src/main/java/cedarrelay/node/Discovery.java
+++ b/src/main/java/cedarrelay/node/Discovery.java
@@ -56,7 +56,7 @@
      */
     private static final long REPEATED_CALL_TIMEOUT_MS = 150;
     /** Among unanswered calls, one in so many has the full response timeout: discovery may just be slow. */
-    private static final int FULL_TIMEOUT_INTERVAL = 4;
+    private static final int CALLS_PER_FULL_TIMEOUT = 4;
     /** If a response has no content so long after its head, discovery has no change to report. */
     private static final long FIRST_CONTENT_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(100);
     /** Limit of reads in a row to empty the kernel's receive buffer. */
@@ -183,7 +183,7 @@
         private ScheduledFuture<?> timeout;
         private long receivedBytes;
         /** Response timeout of this call. */
-        private final long callTimeoutMs = unansweredCalls % FULL_TIMEOUT_INTERVAL == 0 ? responseTimeoutMs
+        private final long callTimeoutMs = unansweredCalls % CALLS_PER_FULL_TIMEOUT == 0 ? responseTimeoutMs
                 : Math.min(responseTimeoutMs, REPEATED_CALL_TIMEOUT_MS);
         private long requestedNs = System.nanoTime();
         /** When the head of the response was received, by {@link System#nanoTime}; 0 before. */
