--- a/src/test/java/cedarrelay/node/DiscoveryTest.java
+++ b/src/test/java/cedarrelay/node/DiscoveryTest.java
@@ -26,11 +26,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch: what it tells, and each way in which it fails, told once. */
+/** Tests what the watch reports, and that each way in which it can fail is reported once. */
 @Timeout(120)
 class DiscoveryTest implements Discovery.Listener {
-    /** Longer than a test waits. */
-    private static final int NEVER_MS = 600_000;
+    private static final int LONGER_THAN_ANY_TEST_MS = 600_000;
 
     private final BlockingQueue<ServerList> lists = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> failures = new LinkedBlockingQueue<>();
@@ -61,23 +60,23 @@
         peer.close();
     }
 
-    private Discovery subscribe(long silentMs) throws Exception {
+    private Discovery subscribe(long idleTimeoutMs) throws Exception {
         EventLoop loop = group.next();
         Discovery discovery = new Discovery(loop, new InetSocketAddress("127.0.0.1", port), 41,
-                Math.min(silentMs, Discovery.BEGUN_MS), silentMs, this);
+                Math.min(idleTimeoutMs, Discovery.BEGUN_MS), idleTimeoutMs, this);
         loop.submit(discovery::subscribe).get();
         return discovery;
     }
 
-    private void failsOnce() throws Exception {
+    private void assertFailsOnce() throws Exception {
         FakePeer.soon(failures);
         FakePeer.soon(peer.ended);
         group.next().submit(() -> { }).get();
-        assertTrue(failures.isEmpty(), "told twice");
+        assertTrue(failures.isEmpty(), "failure reported twice");
     }
 
     @Test
-    void linesInAnyPiecesAreTold() throws Exception {
+    void messagesAreReportedAndANewWatchContinuesAtTheLastRevision() throws Exception {
         String changes = Fixture.list(42, false, "Ready", peer);
         String whole = Fixture.list(50, true, "Terminating", peer);
         peer.script((socket, request) -> {
@@ -89,12 +88,12 @@
         assertEquals(ServerList.parse(changes), FakePeer.soon(lists));
         assertEquals(ServerList.parse(whole), FakePeer.soon(lists));
         peer.nextRequest();
-        // What it has told comes but once: told again, the version would go back.
+        // The new watch must not receive the same messages again: the revision would go back.
         peer.script(FakePeer.SILENT);
         group.next().submit(discovery::subscribe).get();
-        assertTrue(peer.nextRequest().contains("&after=50 "), "asks from the version told last");
+        assertTrue(peer.nextRequest().contains("&after=50 "), "requests changes after the last revision");
         FakePeer.soon(peer.ended);
-        assertTrue(failures.isEmpty(), "a watch replaced is not one that failed");
+        assertTrue(failures.isEmpty(), "replacing a watch was reported as a failure");
     }
 
     @ParameterizedTest
@@ -104,18 +103,18 @@
         "{'rev':1,'all':true,'targets':[{'uid':'s','endpoint':'127.0.0.1:1','state':'Ready',"
             + "'capacity_hint':1e999}]}",
         "{'rev':'x','all':false,'targets':[]}", "{'rev':1,'all':true,'targets':[null]}"})
-    void aMalformedMessageCostsTheWatchAndIsNotTaken(String message) throws Exception {
+    void aMalformedMessageEndsTheWatchAndIsNotApplied(String message) throws Exception {
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
             Fixture.line(socket, message.replace('\'', '"'));
         });
         subscribe(20_000);
-        failsOnce();
+        assertFailsOnce();
         assertTrue(lists.isEmpty());
     }
 
     @Test
-    void aMessageIndentedOverSeveralLinesIsTaken() throws Exception {
+    void aMessageOverSeveralLinesIsApplied() throws Exception {
         String list = Fixture.list(42, false, "Ready", peer);
         String indented = new GsonBuilder().setPrettyPrinting().create().toJson(JsonParser.parseString(list));
         assertTrue(indented.lines().count() > 5, indented);
@@ -134,36 +133,36 @@
     }
 
     @Test
-    void aMessageCutShortIsNotWaitedFor() throws Exception {
+    void aTruncatedMessageEndsTheWatch() throws Exception {
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
-            // In the middle of a line, without its end.
+            // A part of a message, and neither the rest nor the end of the line.
             FakePeer.write(socket, "a\r\n{\"rev\":42,\r\n");
         });
-        subscribe(NEVER_MS);
-        failsOnce();
+        subscribe(LONGER_THAN_ANY_TEST_MS);
+        assertFailsOnce();
         assertTrue(lists.isEmpty());
     }
 
     @Test
-    void aCallThatIsNotAnsweredAtAllIsNotWaitedFor() throws Exception {
-        subscribe(NEVER_MS);
-        failsOnce();
+    void anUnansweredCallFails() throws Exception {
+        subscribe(LONGER_THAN_ANY_TEST_MS);
+        assertFailsOnce();
     }
 
     @Test
-    void aVersionThatGoesBackIsNotTakenAndTheWholeListAskedFor() throws Exception {
-        String now = Fixture.list(50, true, "Ready", peer);
+    void aRevisionThatGoesBackIsNotAppliedAndTheFullListRequested() throws Exception {
+        String current = Fixture.list(50, true, "Ready", peer);
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
-            Fixture.line(socket, now);
+            Fixture.line(socket, current);
             Fixture.line(socket, Fixture.list(49, false, "Terminating", peer));
         });
         Discovery discovery = subscribe(20_000);
-        assertEquals(ServerList.parse(now), FakePeer.soon(lists));
-        failsOnce();
+        assertEquals(ServerList.parse(current), FakePeer.soon(lists));
+        assertFailsOnce();
         peer.nextRequest();
-        // Without a version to go by, what comes is the list as it is now.
+        // Without a revision in the request, discovery sends the current list.
         String restored = Fixture.list(7, true, "Ready", peer);
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
@@ -175,62 +174,64 @@
     }
 
     @Test
-    void whatHasComeBeforeALoopThatIsBehindLooksIsNoSilence() throws Exception {
-        Discovery discovery = subscribe(NEVER_MS);
+    void dataThatArrivesWhileTheEventLoopLagsPreventsATimeout() throws Exception {
+        Discovery discovery = subscribe(LONGER_THAN_ANY_TEST_MS);
         Socket watch = FakePeer.soon(peer.accepted);
         peer.nextRequest();
         EventLoop loop = group.next();
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch dataSent = new CountDownLatch(1);
         loop.execute(() -> {
-            // Due in one turn, in this order: the line comes, and then the time to be heard from is over.
+            // Both timers are due when the event loop runs on: first this one sends data, then the timeout
+            // expires.
             loop.schedule(() -> {
                 Fixture.beginWatch(watch);
                 Fixture.line(watch, Fixture.list(42, true, "Ready", peer));
-                held.countDown();
+                dataSent.countDown();
                 return null;
             }, 1, TimeUnit.MILLISECONDS);
-            park(1_000);
+            blockLoop(1_000);
         });
-        assertTrue(held.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(dataSent.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(42, FakePeer.soon(lists).revision());
         loop.submit(() -> { }).get();
         assertTrue(failures.isEmpty(), failures::toString);
         loop.submit(discovery::close).get();
     }
 
-    private static void park(int ms) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        while (System.nanoTime() - end < 0) {
-            LockSupport.parkNanos(end - System.nanoTime());
+    /** Blocks the calling thread. */
+    private static void blockLoop(int ms) {
+        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+        while (System.nanoTime() - endNs < 0) {
+            LockSupport.parkNanos(endNs - System.nanoTime());
         }
     }
 
     @Test
-    void aBrokenWatchIsTold() throws Exception {
+    void aBrokenWatchIsReported() throws Exception {
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
             FakePeer.RESET.run(socket, request);
         });
         subscribe(20_000);
-        failsOnce();
+        assertFailsOnce();
     }
 
     @Test
-    void anErrorIsTold() throws Exception {
+    void anErrorResponseIsReported() throws Exception {
         peer.script(FakePeer.answer("503 Later", "", "busy"));
         subscribe(20_000);
-        failsOnce();
+        assertFailsOnce();
     }
 
     @Test
-    void silenceIsTold() throws Exception {
+    void aSilentWatchIsReported() throws Exception {
         peer.script((socket, request) -> Fixture.beginWatch(socket));
         subscribe(200);
-        failsOnce();
+        assertFailsOnce();
     }
 
     @Test
-    void anAddressWhereNobodyListensIsTold() throws Exception {
+    void aRefusedConnectionIsReported() throws Exception {
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
         }
@@ -239,13 +240,13 @@
     }
 
     @Test
-    void heartbeatsKeepTheWatch() throws Exception {
+    void heartbeatsKeepTheWatchOpen() throws Exception {
         subscribe(3_000);
         Socket watch = FakePeer.soon(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(watch);
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
-        while (System.nanoTime() < until) {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
+        while (System.nanoTime() < deadlineNs) {
             Fixture.line(watch, "");
             String failure = failures.poll(100, TimeUnit.MILLISECONDS);
             assertEquals(null, failure);
--- a/src/test/java/cedarrelay/node/FakePeer.java
+++ b/src/test/java/cedarrelay/node/FakePeer.java
@@ -14,15 +14,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server, or discovery, on a loopback socket: records what it is sent and does as its script says. */
+/** A fake server, or fake discovery, on a loopback socket: records requests and runs a script on each. */
 final class FakePeer implements Closeable {
+    /** How long tests wait for something that must happen. */
     static final long PATIENCE_S = 30;
 
-    /** What to do with a request, or with a connection. */
+    /** The reaction to a request. */
     interface Script {
         void run(Socket socket, String request) throws IOException, InterruptedException;
     }
 
+    /** Never responds. */
     static final Script SILENT = (socket, request) -> { };
     static final Script RESET = (socket, request) -> {
         socket.setSoLinger(true, 0);
@@ -31,37 +33,38 @@
     static final Script CLOSE = (socket, request) -> socket.close();
 
     final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    /** Connections that the other side has ended. */
+    /** Connections that have ended, whichever side closed them. */
     final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
     final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
-    private final ServerSocket listening;
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
+    private final ServerSocket serverSocket;
     private volatile Script script;
 
     FakePeer(Script script) throws IOException {
         this(0, script);
     }
 
-    /** At a port that was another's before, say. */
+    /** Listens on the given port, for instance to reuse that of an earlier peer; 0 for any free one. */
     FakePeer(int port, Script script) throws IOException {
         this.script = script;
-        listening = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        daemon(() -> {
+        serverSocket = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
+        startDaemon(() -> {
             while (true) {
-                Socket socket = listening.accept();
-                open.add(socket);
+                Socket socket = serverSocket.accept();
+                openSockets.add(socket);
                 accepted.add(socket);
-                daemon(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         });
     }
 
-    /** An answer with these headers and this body. */
+    /** Sends a response with these headers and this body; each header ends with CR LF. */
     static Script answer(String status, String headers, String body) {
         return raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length()
                 + "\r\n\r\n" + body);
     }
 
+    /** Sends this text. */
     static Script raw(String text) {
         return (socket, request) -> write(socket, text);
     }
@@ -71,12 +74,13 @@
         socket.getOutputStream().flush();
     }
 
+    /** Replaces the script for later requests. */
     void script(Script next) {
         script = next;
     }
 
     int port() {
-        return listening.getLocalPort();
+        return serverSocket.getLocalPort();
     }
 
     String address() {
@@ -87,10 +91,11 @@
         return soon(requests);
     }
 
+    /** Waits for the next element; fails the test after {@link #PATIENCE_S}. */
     static <T> T soon(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("nothing received in time");
         }
         return next;
     }
@@ -106,7 +111,7 @@
         }
     }
 
-    /** One HTTP message with its body, or null at the end. */
+    /** Reads one HTTP message with its body; returns null if the connection ends before its headers do. */
     static String read(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -122,6 +127,7 @@
         return text.append(new String(body, StandardCharsets.ISO_8859_1)).toString();
     }
 
+    /** Returns the value of a header, or null if there is none. */
     static String header(String message, String name) {
         String head = message.substring(0, message.indexOf("\r\n\r\n"));
         for (String line : head.split("\r\n")) {
@@ -134,22 +140,22 @@
 
     @Override
     public void close() throws IOException {
-        listening.close();
-        for (Socket socket : open) {
+        serverSocket.close();
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
 
-    private interface Body {
+    private interface IoTask {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void daemon(Body body) {
+    private static void startDaemon(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                body.run();
+                task.run();
             } catch (IOException | InterruptedException e) {
-                // The connection or the test is over.
+                // The connection was closed, or the test has ended.
                 return;
             }
         });
--- a/src/test/java/cedarrelay/node/Fixture.java
+++ b/src/test/java/cedarrelay/node/Fixture.java
@@ -8,10 +8,11 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 
-/** Configurations, requests and lists for tests. */
+/** Creates configurations, requests and server lists for tests. */
 final class Fixture {
+    /** Time budget that requests state in their X-Remaining-Ms header. */
     static final int REMAINING_MS = 20_000;
-    /** Of the class "photo". */
+    /** The setting windowUs of the class "photo", in milliseconds. */
     static final int WINDOW_MS = 1_200;
 
     private static final String CLASSES = """
@@ -23,6 +24,7 @@
 
     private Fixture() { }
 
+    /** A configuration on any free port whose known list has these servers, all ready. */
     static JsonObject config(FakePeer discovery, FakePeer... servers) {
         return JsonParser.parseString("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -36,12 +38,14 @@
                 .getAsJsonObject();
     }
 
+    /** Writes a configuration to a temporary file, which is deleted when the JVM exits. */
     static Path write(JsonObject json) throws IOException {
         Path file = Files.createTempFile("node", ".json");
         file.toFile().deleteOnExit();
         return Files.writeString(file, json.toString());
     }
 
+    /** A message of discovery with these servers, all in the given state. */
     static String list(long revision, boolean all, String state, FakePeer... servers) {
         StringBuilder targets = new StringBuilder();
         for (FakePeer server : servers) {
@@ -52,6 +56,7 @@
         return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":[" + targets + "]}";
     }
 
+    /** The text of a client's request; each of the additional headers ends with CR LF. */
     static String request(String method, String path, long id, String headers, String body) {
         return method + " " + path + " HTTP/1.1\r\nHost: backend.local\r\nX-Txn: "
                 + String.format("%016x", id) + "\r\nX-Org: acme\r\nX-Remaining-Ms: " + REMAINING_MS + "\r\n"
@@ -59,15 +64,17 @@
                 + body;
     }
 
+    /** Sends the head of the response to a watch. */
     static void beginWatch(Socket watch) throws IOException {
         FakePeer.write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
+    /** Sends a line as one chunk; an empty one is a heartbeat. */
     static void line(Socket watch, String line) throws IOException {
         piece(watch, line + "\n");
     }
 
-    /** A part of a message, or of several. */
+    /** Sends this text as one chunk; it may be a part of a message, or several messages. */
     static void piece(Socket watch, String text) throws IOException {
         FakePeer.write(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
--- a/src/test/java/cedarrelay/node/ServerPoolTest.java
+++ b/src/test/java/cedarrelay/node/ServerPoolTest.java
@@ -36,23 +36,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every line of the protocol's table of outcomes, and the care of connections. */
+/** Tests the reported result for each way in which an attempt can end, and the reuse of connections. */
 @Timeout(120)
 class ServerPoolTest {
-    private static final long IDLE_US = 60_000_000;
+    private static final long IDLE_TIMEOUT_US = 60_000_000;
 
     private EventLoopGroup group;
     private EventLoop loop;
     private FakePeer server;
 
-    /** The report on an attempt. */
+    /** The reported result of an attempt. */
     private record Report(Result result, Answer answer) { }
 
-    private static class Probe implements ServerPool.Caller {
+    /** Sends a request with a body of zeros, and records what is reported. */
+    private static class RecordingCaller implements ServerPool.Caller {
         final BlockingQueue<Report> reports = new LinkedBlockingQueue<>();
         private final int bodySize;
 
-        Probe(int bodySize) {
+        RecordingCaller(int bodySize) {
             this.bodySize = bodySize;
         }
 
@@ -87,40 +88,43 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    private ServerPool pool(String address, long idleUs) throws Exception {
-        return pool(address, idleUs, 0);
+    private ServerPool pool(String address, long idleTimeoutUs) throws Exception {
+        return pool(address, idleTimeoutUs, 0);
     }
 
-    private ServerPool pool(String address, long idleUs, long restUs) throws Exception {
+    private ServerPool pool(String address, long idleTimeoutUs, long quarantineUs) throws Exception {
         Sockets sockets = new Sockets(1_024);
-        ServerPool pool = loop.submit(() -> new ServerPool(loop, sockets, 300_000, idleUs, restUs)).get();
-        list(pool, address, 0);
+        ServerPool pool = loop.submit(
+                () -> new ServerPool(loop, sockets, 300_000, idleTimeoutUs, quarantineUs)).get();
+        applyList(pool, address, 0);
         return pool;
     }
 
-    private void list(ServerPool pool, String address, long bootMs) throws Exception {
+    /** Applies a list with the one server "s". */
+    private void applyList(ServerPool pool, String address, long bootMs) throws Exception {
         ServerList list = ServerList.parse("{\"rev\":1,\"all\":true,"
                 + "\"targets\":[{\"uid\":\"s\",\"endpoint\":\"" + address
                 + "\",\"state\":\"Ready\",\"boot_ms\":" + bootMs + "}]}");
         loop.submit(() -> pool.update(list)).get();
     }
 
-    private ServerPool.Attempt start(ServerPool pool, Probe probe) throws Exception {
-        return loop.submit(() -> pool.start("s", probe)).get();
+    private ServerPool.Attempt start(ServerPool pool, RecordingCaller caller) throws Exception {
+        return loop.submit(() -> pool.start("s", caller)).get();
     }
 
+    /** Sends a request to the server, which runs the script; checks that there is only one report. */
     private Report outcome(FakePeer.Script script) throws Exception {
         server.script(script);
-        Probe probe = new Probe(10);
-        start(pool(server.address(), IDLE_US), probe);
-        Report report = probe.report();
+        RecordingCaller caller = new RecordingCaller(10);
+        start(pool(server.address(), IDLE_TIMEOUT_US), caller);
+        Report report = caller.report();
         loop.submit(() -> { }).get();
-        assertTrue(probe.reports.isEmpty(), "reported twice");
+        assertTrue(caller.reports.isEmpty(), "reported twice");
         return report;
     }
 
     @Test
-    void aWhole200IsServedUnchanged() throws Exception {
+    void aCompleteResponseIsReportedUnchanged() throws Exception {
         Report report = outcome(FakePeer.answer("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
         assertEquals(Result.OK, report.result());
         assertArrayEquals("h\u00e9llo".getBytes(StandardCharsets.ISO_8859_1), report.answer().body());
@@ -132,7 +136,7 @@
     }
 
     @Test
-    void errorsMayHaveRunAndTurnedAwayNeverHas() throws Exception {
+    void overloadRejectionsAreDistinguishedFromOtherErrors() throws Exception {
         assertEquals(Result.ERROR, outcome(FakePeer.answer("500 No", "", "")).result());
         assertEquals(Result.ERROR, outcome(FakePeer.answer("503 No", "", "")).result());
         assertEquals(Result.ERROR, outcome(FakePeer.answer("500 No", "X-Turned-Away: 1\r\n", "")).result());
@@ -141,7 +145,7 @@
     }
 
     @Test
-    void whatBreaksAfterTheLastByteIsAReset() throws Exception {
+    void aConnectionThatBreaksAfterTheLastByteWasWrittenIsReset() throws Exception {
         assertEquals(Result.RESET, outcome(FakePeer.RESET).result());
         assertEquals(Result.RESET, outcome(FakePeer.CLOSE).result());
         assertEquals(Result.RESET, outcome((socket, request) -> {
@@ -149,26 +153,26 @@
             socket.close();
         }).result());
         assertEquals(Result.RESET, outcome((socket, request) -> {
-            // Without a length the end of the connection is all there is, and says nothing.
+            // Without a length, a complete response can't be told from one cut off by the connection's end.
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\n\r\nmaybe half");
             socket.close();
         }).result());
         assertEquals(Result.RESET, outcome(FakePeer.raw("HELLO THERE\r\n\r\n")).result());
     }
 
-    /** Without a length only the connection's end could end it, and a reset is none. */
+    /** Without a length only the orderly close of the connection could end the response, not a reset. */
     @ParameterizedTest
     @ValueSource(strings = {"200 OK\r\n", "503 No\r\nX-Turned-Away: 1\r\n"})
-    void anAnswerWithoutLengthCutByAResetIsAReset(String head) throws Exception {
+    void aResponseWithoutLengthCutOffByAResetIsReset(String head) throws Exception {
         assertEquals(Result.RESET, outcome((socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 " + head + "\r\nmaybe half");
-            // So that it has been read: a reset takes back what has not.
+            // Gives the pool time to read it: a reset discards data that has not been read.
             TimeUnit.MILLISECONDS.sleep(100);
             FakePeer.RESET.run(socket, request);
         }).result());
     }
 
-    /** The connection stays open behind each of these: nothing but the reading may end the attempt. */
+    /** The connection stays open after each of these, so only parsing them can end the attempt. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nno",
         "HTTP/1.1 200 OK\r\nContent-Length : 2\r\n\r\nno",
@@ -180,13 +184,13 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nno\r\n0\r\n\r\n",
         "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno", "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nno",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"})
-    void whatCantBeReadIsNoAnswer(String spoilt) throws Exception {
-        assertEquals(Result.RESET, outcome(FakePeer.raw(spoilt)).result());
+    void aMalformedResponseIsReportedAsReset(String malformed) throws Exception {
+        assertEquals(Result.RESET, outcome(FakePeer.raw(malformed)).result());
         FakePeer.soon(server.ended);
     }
 
     @Test
-    void headsWithoutEndEndTheAttempt() throws Exception {
+    void endlessHeadersEndTheAttempt() throws Exception {
         assertEquals(Result.RESET, outcome(FakePeer.raw("HTTP/1.1 200 OK\r\n"
                 + "X-Pad: pppppppppppppppp\r\n".repeat(1_000))).result());
         assertEquals(Result.RESET, outcome(FakePeer.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(100)
@@ -194,15 +198,16 @@
     }
 
     @Test
-    void aSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe first = new Probe(10);
+    void aDuplicateResponseIsNotUsedForTheNextRequest() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
+        RecordingCaller first = new RecordingCaller(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
         Socket idle = FakePeer.soon(server.accepted);
-        Probe second = new Probe(10);
+        RecordingCaller second = new RecordingCaller(10);
         loop.submit(() -> {
-            // The loop is busy here: what comes is in the system's buffer and read only afterwards.
+            // The event loop is busy here, so the response stays in the kernel's buffer until start() is
+            // called.
             FakePeer.write(idle, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
             return pool.start("s", second);
         }).get();
@@ -210,55 +215,55 @@
     }
 
     @Test
-    void aSecondAnswerThatComesLateFindsItsConnectionResting() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US, TimeUnit.SECONDS.toMicros(1));
-        Probe first = new Probe(10);
+    void aLateDuplicateResponseArrivesDuringTheQuarantine() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US, TimeUnit.SECONDS.toMicros(1));
+        RecordingCaller first = new RecordingCaller(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
         Socket resting = FakePeer.soon(server.accepted);
         server.nextRequest();
-        Probe second = new Probe(11);
+        RecordingCaller second = new RecordingCaller(11);
         start(pool, second);
-        assertTrue(server.requests.isEmpty(), "sent behind an answer that may come twice");
+        assertTrue(server.requests.isEmpty(), "sent on a connection in quarantine");
         FakePeer.write(resting, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
         assertSame(resting, FakePeer.soon(server.ended));
-        // In line for that connection, it gets another.
+        // The attempt that waited for this connection gets another one.
         assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
     }
 
     @Test
-    void aConnectionThatHasRestedCarriesTheNextInLine() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US, 50_000);
-        Probe[] probes = {new Probe(1), new Probe(2), new Probe(3)};
-        start(pool, probes[0]);
-        assertEquals(Result.OK, probes[0].report().result());
+    void aConnectionCarriesTheNextWaitingAttemptAfterItsQuarantine() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US, 50_000);
+        RecordingCaller[] callers = {new RecordingCaller(1), new RecordingCaller(2), new RecordingCaller(3)};
+        start(pool, callers[0]);
+        assertEquals(Result.OK, callers[0].report().result());
         loop.submit(() -> {
-            pool.start("s", probes[1]);
-            return pool.start("s", probes[2]);
+            pool.start("s", callers[1]);
+            return pool.start("s", callers[2]);
         }).get();
-        assertEquals(Result.OK, probes[1].report().result());
-        assertEquals(Result.OK, probes[2].report().result());
+        assertEquals(Result.OK, callers[1].report().result());
+        assertEquals(Result.OK, callers[2].report().result());
         FakePeer.soon(server.accepted);
         FakePeer.soon(server.accepted);
-        assertTrue(server.accepted.isEmpty(), "dialled for one that a connection rested for");
+        assertTrue(server.accepted.isEmpty(), "opened a connection although one in quarantine was available");
     }
 
     @Test
-    void aConnectionThatComesUpAfterItsServerDrainsCarriesNothing() throws Exception {
+    void aConnectionEstablishedAfterItsServerDrainsCarriesNothing() throws Exception {
         for (String state : List.of("Terminating", "Gone")) {
-            ServerPool pool = pool(server.address(), IDLE_US);
-            Probe probe = new Probe(10);
+            ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
+            RecordingCaller caller = new RecordingCaller(10);
             ServerList list = ServerList.parse("{\"rev\":2,\"all\":false,\"targets\":[{\"uid\":\"s\","
                     + "\"endpoint\":\"" + server.address() + "\",\"state\":\"" + state + "\"}]}");
             loop.submit(() -> {
-                // Its dial has begun, and the loop can't hear of the end of it before the list.
-                pool.start("s", probe);
+                // The connect has begun, and the event loop can't process its end before the list.
+                pool.start("s", caller);
                 pool.update(list);
             }).get();
-            assertEquals(Result.MOOT, probe.report().result());
-            list(pool, server.address(), 0);
-            Probe next = new Probe(11);
+            assertEquals(Result.MOOT, caller.report().result());
+            applyList(pool, server.address(), 0);
+            RecordingCaller next = new RecordingCaller(11);
             start(pool, next);
             assertEquals(Result.OK, next.report().result());
             assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
@@ -267,15 +272,15 @@
     }
 
     @Test
-    void whatIsNoLongerWantedOnceItsConnectionIsUpIsNotSent() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe unwanted = new Probe(10) {
+    void anAttemptNoLongerWantedWhenItsConnectionIsEstablishedIsNotSent() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
+        RecordingCaller unwanted = new RecordingCaller(10) {
             @Override
             public boolean isWanted() {
                 return false;
             }
         };
-        Probe next = new Probe(11);
+        RecordingCaller next = new RecordingCaller(11);
         loop.submit(() -> {
             pool.start("s", unwanted);
             return pool.start("s", next);
@@ -287,43 +292,43 @@
     }
 
     @Test
-    void noConnectionIsNeverRan() throws Exception {
+    void aRefusedConnectionIsReportedAsConnectFailed() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
         }
-        Probe probe = new Probe(10);
-        start(pool("127.0.0.1:" + port, IDLE_US), probe);
-        assertEquals(Result.CONNECT_FAILED, probe.report().result());
+        RecordingCaller caller = new RecordingCaller(10);
+        start(pool("127.0.0.1:" + port, IDLE_TIMEOUT_US), caller);
+        assertEquals(Result.CONNECT_FAILED, caller.report().result());
     }
 
     @Test
-    void aConnectionThatNeverComesUpIsGivenUpAtTheDialLimit() throws Exception {
-        neverUp(attempt -> { });
+    void aHangingConnectFailsAtTheConnectTimeout() throws Exception {
+        assertHangingConnectFails(attempt -> { });
     }
 
     @Test
-    void anAttemptWhoseTimeIsUpWhileItsDialHangsCouldNotConnect() throws Exception {
-        neverUp(attempt -> loop.execute(() -> attempt.giveUp(Result.TIMEOUT)));
+    void anAttemptThatTimesOutWhileConnectingIsReportedAsConnectFailed() throws Exception {
+        assertHangingConnectFails(attempt -> loop.execute(() -> attempt.giveUp(Result.TIMEOUT)));
     }
 
-    private void neverUp(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
+    private void assertHangingConnectFails(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Linux drops what comes when the queue of connections not accepted is full.
-            List<Socket> fill = new ArrayList<>();
+            // Linux drops connection attempts while the queue of connections not yet accepted is full.
+            List<Socket> queued = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 Socket socket = new Socket();
-                fill.add(socket);
+                queued.add(socket);
                 try {
                     socket.connect(full.getLocalSocketAddress(), 200);
                 } catch (java.net.SocketTimeoutException e) {
                     break;
                 }
             }
-            Probe probe = new Probe(10);
-            meanwhile.accept(start(pool("127.0.0.1:" + full.getLocalPort(), IDLE_US), probe));
-            assertEquals(Result.CONNECT_FAILED, probe.report().result());
-            for (Socket socket : fill) {
+            RecordingCaller caller = new RecordingCaller(10);
+            meanwhile.accept(start(pool("127.0.0.1:" + full.getLocalPort(), IDLE_TIMEOUT_US), caller));
+            assertEquals(Result.CONNECT_FAILED, caller.report().result());
+            for (Socket socket : queued) {
                 socket.close();
             }
         }
@@ -331,86 +336,89 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aConnectionThatComesUpTogetherWithItsEndIsNone(boolean reset) throws Exception {
+    void aConnectionClosedAsSoonAsEstablishedIsReportedAsConnectFailed(boolean reset) throws Exception {
         try (ServerSocket closing = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            ServerPool pool = pool("127.0.0.1:" + closing.getLocalPort(), IDLE_US);
-            Probe probe = new Probe(10);
+            ServerPool pool = pool("127.0.0.1:" + closing.getLocalPort(), IDLE_TIMEOUT_US);
+            RecordingCaller caller = new RecordingCaller(10);
             CountDownLatch ended = new CountDownLatch(1);
             loop.execute(() -> {
-                pool.start("s", probe);
-                // Behind the dial: the loop hears that it is up and that it has ended in one turn.
+                pool.start("s", caller);
+                // Blocks the event loop, so that it learns of the connection's start and end at the same
+                // time.
                 loop.submit(() -> ended.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
             });
             Socket accepted = closing.accept();
             accepted.setSoLinger(reset, 0);
             accepted.close();
             ended.countDown();
-            assertEquals(Result.CONNECT_FAILED, probe.report().result());
+            assertEquals(Result.CONNECT_FAILED, caller.report().result());
         }
     }
 
     @Test
-    void whatBreaksBeforeTheLastByteIsHandedOverNeverRan() throws Exception {
-        try (ServerSocket deaf = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Probe probe = new Probe(64 << 20);
-            start(pool("127.0.0.1:" + deaf.getLocalPort(), IDLE_US), probe);
-            Socket accepted = deaf.accept();
+    void aConnectionThatBreaksBeforeTheLastByteWasWrittenIsReportedAsConnectFailed() throws Exception {
+        try (ServerSocket nonReadingServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            RecordingCaller caller = new RecordingCaller(64 << 20);
+            start(pool("127.0.0.1:" + nonReadingServer.getLocalPort(), IDLE_TIMEOUT_US), caller);
+            Socket accepted = nonReadingServer.accept();
             accepted.getInputStream().read();
             accepted.setSoLinger(true, 0);
             accepted.close();
-            assertEquals(Result.CONNECT_FAILED, probe.report().result());
+            assertEquals(Result.CONNECT_FAILED, caller.report().result());
         }
     }
 
     @Test
-    void whatIsOnlyPartlyHandedOverInTimeIsCutOffAndNeverRan() throws Exception {
-        try (ServerSocket deaf = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Probe probe = new Probe(64 << 20);
-            ServerPool.Attempt attempt = start(pool("127.0.0.1:" + deaf.getLocalPort(), IDLE_US), probe);
-            Socket accepted = deaf.accept();
+    void aPartlyWrittenRequestIsCutOffAndReportedAsConnectFailed() throws Exception {
+        try (ServerSocket nonReadingServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            RecordingCaller caller = new RecordingCaller(64 << 20);
+            ServerPool.Attempt attempt = start(
+                    pool("127.0.0.1:" + nonReadingServer.getLocalPort(), IDLE_TIMEOUT_US), caller);
+            Socket accepted = nonReadingServer.accept();
             accepted.getInputStream().read();
             loop.submit(attempt::giveUpUnlessSent).get();
-            assertEquals(Result.CONNECT_FAILED, probe.report().result());
+            assertEquals(Result.CONNECT_FAILED, caller.report().result());
             assertTrue(accepted.getInputStream().transferTo(OutputStream.nullOutputStream()) < 64 << 20,
-                    "written to its end");
+                    "the whole request was written");
         }
     }
 
     @Test
-    void whatHasBeenHandedOverInTimeIsWaitedFor() throws Exception {
+    void aCompletelyWrittenRequestIsNotAbandoned() throws Exception {
         server.script(FakePeer.SILENT);
-        Probe probe = new Probe(10);
-        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_US), probe);
+        RecordingCaller caller = new RecordingCaller(10);
+        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_TIMEOUT_US), caller);
         server.nextRequest();
         loop.submit(attempt::giveUpUnlessSent).get();
         FakePeer.write(FakePeer.soon(server.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(Result.OK, probe.report().result());
+        assertEquals(Result.OK, caller.report().result());
     }
 
     @Test
-    void anAttemptGivenUpClosesItsConnection() throws Exception {
+    void anAbandonedAttemptClosesItsConnection() throws Exception {
         server.script(FakePeer.SILENT);
-        Probe probe = new Probe(10);
-        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_US), probe);
+        RecordingCaller caller = new RecordingCaller(10);
+        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_TIMEOUT_US), caller);
         server.nextRequest();
         loop.submit(() -> attempt.giveUp(Result.TIMEOUT)).get();
-        assertEquals(Result.TIMEOUT, probe.report().result());
+        assertEquals(Result.TIMEOUT, caller.report().result());
         FakePeer.soon(server.ended);
     }
 
     @Test
-    void aServerFallenSilentCostsOneTimeOutAndNotOneForEachConnection() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe[] probes = {new Probe(1), new Probe(2)};
-        // In one turn of the loop: answered in between, the first's connection would carry the second too.
+    void aTimeoutOfAnUnresponsiveServerClosesItsIdleConnections() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
+        RecordingCaller[] callers = {new RecordingCaller(1), new RecordingCaller(2)};
+        // In one task of the event loop: if the first were answered in between, its connection would be
+        // reused.
         loop.submit(() -> {
-            pool.start("s", probes[0]);
-            return pool.start("s", probes[1]);
+            pool.start("s", callers[0]);
+            return pool.start("s", callers[1]);
         }).get();
-        assertEquals(Result.OK, probes[0].report().result());
-        assertEquals(Result.OK, probes[1].report().result());
+        assertEquals(Result.OK, callers[0].report().result());
+        assertEquals(Result.OK, callers[1].report().result());
         server.script(FakePeer.SILENT);
-        Probe silent = new Probe(3);
+        RecordingCaller silent = new RecordingCaller(3);
         ServerPool.Attempt attempt = start(pool, silent);
         loop.submit(() -> attempt.giveUp(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, silent.report().result());
@@ -419,14 +427,15 @@
     }
 
     @Test
-    void anAttemptGivenUpBeforeItsConnectionIsUpIsNeverSent() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe probe = new Probe(10);
-        loop.submit(() -> pool.start("s", probe).giveUp(Result.CANCELLED)).get();
-        assertEquals(Result.MOOT, probe.report().result());
-        // Its connection, once up, carries the next attempt: the only request that the server sees.
+    void anAttemptAbandonedWhileConnectingIsNeverSent() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
+        RecordingCaller caller = new RecordingCaller(10);
+        loop.submit(() -> pool.start("s", caller).giveUp(Result.CANCELLED)).get();
+        assertEquals(Result.MOOT, caller.report().result());
+        // Once established, its connection carries the next attempt: the only request that the server
+        // receives.
         FakePeer.soon(server.accepted);
-        Probe next = new Probe(11);
+        RecordingCaller next = new RecordingCaller(11);
         start(pool, next);
         assertEquals(Result.OK, next.report().result());
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
@@ -434,29 +443,31 @@
     }
 
     @Test
-    void connectionsAreReusedMostRecentFirst() throws Exception {
+    void theMostRecentlyUsedConnectionIsReusedFirst() throws Exception {
         BlockingQueue<Socket> used = new LinkedBlockingQueue<>();
         server.script((socket, request) -> used.add(socket));
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe first = new Probe(1);
-        Probe second = new Probe(2);
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
+        RecordingCaller first = new RecordingCaller(1);
+        RecordingCaller second = new RecordingCaller(2);
         start(pool, first);
         start(pool, second);
         Socket a = FakePeer.soon(used);
         Socket b = FakePeer.soon(used);
         FakePeer.write(a, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.soon(first.reports.isEmpty() && second.reports.isEmpty() ? either(first, second)
+        FakePeer.soon(first.reports.isEmpty() && second.reports.isEmpty() ? awaitEither(first, second)
                 : first.reports.isEmpty() ? second.reports : first.reports);
         FakePeer.write(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.soon(either(first, second));
-        Probe third = new Probe(3);
+        FakePeer.soon(awaitEither(first, second));
+        RecordingCaller third = new RecordingCaller(3);
         start(pool, third);
         assertSame(b, FakePeer.soon(used));
     }
 
-    private static BlockingQueue<Report> either(Probe a, Probe b) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
-        while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < until) {
+    /** Waits until one of the callers has a report, and returns the queue that holds it. */
+    private static BlockingQueue<Report> awaitEither(RecordingCaller a, RecordingCaller b)
+            throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < deadlineNs) {
             Report report = a.reports.poll(1, TimeUnit.MILLISECONDS);
             if (report != null) {
                 a.reports.add(report);
@@ -466,21 +477,21 @@
     }
 
     @Test
-    void aConnectionThatTheServerClosedOrSpokeOnIsNotReused() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
+    void aConnectionThatTheServerClosedOrWroteToWhileIdleIsNotReused() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
         String wrong = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-        for (String unasked : Arrays.asList(null, wrong, "HTT")) {
-            Probe first = new Probe(10);
+        for (String unsolicited : Arrays.asList(null, wrong, "HTT")) {
+            RecordingCaller first = new RecordingCaller(10);
             start(pool, first);
             assertEquals(Result.OK, first.report().result());
             Socket idle = FakePeer.soon(server.accepted);
-            if (unasked == null) {
+            if (unsolicited == null) {
                 idle.close();
             } else {
-                FakePeer.write(idle, unasked);
+                FakePeer.write(idle, unsolicited);
             }
             assertSame(idle, FakePeer.soon(server.ended));
-            Probe second = new Probe(10);
+            RecordingCaller second = new RecordingCaller(10);
             start(pool, second);
             assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
             FakePeer.soon(server.accepted).close();
@@ -489,24 +500,24 @@
     }
 
     @Test
-    void anIdleConnectionIsDroppedBeforeTheServerWould() throws Exception {
-        Probe probe = new Probe(10);
-        start(pool(server.address(), 100_000), probe);
-        assertEquals(Result.OK, probe.report().result());
-        // The fake never closes: the end of the connection is the pool's doing.
+    void anIdleConnectionIsClosedBeforeTheServerWouldCloseIt() throws Exception {
+        RecordingCaller caller = new RecordingCaller(10);
+        start(pool(server.address(), 100_000), caller);
+        assertEquals(Result.OK, caller.report().result());
+        // The fake server never closes a connection, so the pool has closed it.
         FakePeer.soon(server.ended);
     }
 
     @Test
-    void aServerThatMovesTakesItsAttemptsAlong() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe first = new Probe(10);
+    void attemptsGoToTheNewAddressOfAServerThatMoved() throws Exception {
+        ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
+        RecordingCaller first = new RecordingCaller(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
         try (FakePeer moved = new FakePeer(FakePeer.answer("200 OK", "", "moved"))) {
-            list(pool, moved.address(), 0);
+            applyList(pool, moved.address(), 0);
             FakePeer.soon(server.ended);
-            Probe second = new Probe(10);
+            RecordingCaller second = new RecordingCaller(10);
             start(pool, second);
             assertEquals("moved", new String(second.report().answer().body(), StandardCharsets.UTF_8));
         }
