--- a/src/main/java/cedarrelay/node/Answer.java
+++ b/src/main/java/cedarrelay/node/Answer.java
@@ -1,8 +1,9 @@
 package cedarrelay.node;
 
 /**
- * A server's whole answer.
+ * A server's complete response.
  *
- * @param contentType as the server gave it, or null
+ * @param status HTTP status code
+ * @param contentType the value of {@code Content-Type}, or null
  */
 record Answer(int status, String contentType, byte[] body) { }
--- a/src/main/java/cedarrelay/node/AnswerReader.java
+++ b/src/main/java/cedarrelay/node/AnswerReader.java
@@ -16,131 +16,141 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.AsciiString;
 
-/** Puts one answer of a server together, within limits, and takes for an answer only what is surely one. */
+/** Assembles one response of a server, within size limits, and rejects responses that are ambiguous. */
 final class AnswerReader {
-    private static final int MAX_BODY = 64 * 1024;
-    private static final int MAX_LINE = 4_096;
-    private static final int MAX_HEADERS = 16_384;
-    /** Informational answers ahead of the final one; servers send one or two. */
-    private static final int MOST_INFORMATIONAL = 16;
-    private static final byte[] NONE = {};
-
-    /** What has come can't be the answer to anything. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_STATUS_LINE_BYTES = 4_096;
+    private static final int MAX_HEADER_BYTES = 16_384;
+    /** Informational (1xx) responses before the final one; servers send one or two. */
+    private static final int MAX_INFORMATIONAL = 16;
+    private static final byte[] EMPTY_BODY = {};
+
+    /** The bytes received are not a valid response to the request. */
     static final class Spoilt extends Exception {
         private static final long serialVersionUID = 1;
 
         Spoilt() {
-            super("spoilt answer", null, false, false);
+            super("invalid response from the server", null, false, false);
         }
     }
 
-    /** Netty's decoder without its leniency: a line read in two ways may be no header at all. */
+    /** Netty's response decoder, but rejecting lines and lengths that can be read in more than one way. */
     static final class Decoder extends HttpResponseDecoder {
         Decoder() {
-            super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_LINE).setMaxHeaderSize(MAX_HEADERS));
+            super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_STATUS_LINE_BYTES)
+                    .setMaxHeaderSize(MAX_HEADER_BYTES));
         }
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            // Netty ends a response's name at white space too, and then does without a colon.
+            // In responses Netty also ends a header's name at white space, and then accepts a missing colon.
             if (line[start + length] != ':') {
-                throw new IllegalArgumentException("no colon behind a header's name");
+                throw new IllegalArgumentException("response header without a colon after its name");
             }
             return super.splitHeaderName(line, start, length);
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("two lengths");
+            throw new IllegalArgumentException("response has both Content-Length and chunked encoding");
         }
     }
 
     private HttpResponse head;
-    private byte[] body = NONE;
-    private int size;
-    private int informational;
-    private boolean whole;
+    private byte[] body = EMPTY_BODY;
+    private int bodyBytes;
+    private int informationalCount;
+    private boolean complete;
 
-    /** Whether all of the final answer has come. */
+    /** Whether the final response is complete. */
     boolean isWhole() {
-        return whole;
+        return complete;
     }
 
-    /** Takes in the next part; whether the answer is now whole. */
+    /**
+     * Adds the next decoded part.
+     *
+     * @return whether the final response is now complete
+     * @throws Spoilt if the response is malformed, too large or not properly ended
+     */
     boolean read(HttpObject part) throws Spoilt {
-        if (whole || part.decoderResult().isFailure()) {
+        if (complete || part.decoderResult().isFailure()) {
             throw new Spoilt();
         }
         if (part instanceof HttpResponse response) {
-            begin(response);
+            beginResponse(response);
         }
         if (part instanceof HttpContent content) {
-            add(content.content());
+            addContent(content.content());
             if (part instanceof LastHttpContent) {
-                end();
+                endResponse();
             }
         }
-        return whole;
+        return complete;
     }
 
-    private void begin(HttpResponse response) throws Spoilt {
+    private void beginResponse(HttpResponse response) throws Spoilt {
         head = response;
         long length = HttpUtil.getContentLength(response, 0L);
-        // No use reading what can't be passed on; and nobody has asked for another protocol.
-        if (length > MAX_BODY || response.protocolVersion().majorVersion() != 1
+        // A larger body can't be forwarded, and no request asks for another protocol.
+        if (length > MAX_BODY_BYTES || response.protocolVersion().majorVersion() != 1
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             throw new Spoilt();
         }
-        body = length > 0 ? new byte[(int) length] : NONE;
+        body = length > 0 ? new byte[(int) length] : EMPTY_BODY;
     }
 
-    private void add(ByteBuf content) throws Spoilt {
-        int more = content.readableBytes();
-        if (size + more > MAX_BODY) {
+    private void addContent(ByteBuf content) throws Spoilt {
+        int contentBytes = content.readableBytes();
+        if (bodyBytes + contentBytes > MAX_BODY_BYTES) {
             throw new Spoilt();
         }
-        if (size + more > body.length) {
-            body = Arrays.copyOf(body, Math.min(MAX_BODY, Math.max(size + more, 2 * body.length)));
+        if (bodyBytes + contentBytes > body.length) {
+            body = Arrays.copyOf(body,
+                    Math.min(MAX_BODY_BYTES, Math.max(bodyBytes + contentBytes, 2 * body.length)));
         }
-        content.readBytes(body, size, more);
-        size += more;
+        content.readBytes(body, bodyBytes, contentBytes);
+        bodyBytes += contentBytes;
     }
 
-    private void end() throws Spoilt {
+    private void endResponse() throws Spoilt {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            if (++informational > MOST_INFORMATIONAL) {
+            if (++informationalCount > MAX_INFORMATIONAL) {
                 throw new Spoilt();
             }
-            body = NONE;
-            size = 0;
+            body = EMPTY_BODY;
+            bodyBytes = 0;
             return;
         }
         if (head.status().code() == 200 && !isFramed()) {
-            // It ended with its connection: a process that died half way looks the same.
+            // Its body ends with the connection, which looks the same if the server dies half way.
             throw new Spoilt();
         }
-        whole = true;
+        complete = true;
     }
 
     private boolean isFramed() {
         return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
+    /** Status code of the latest response that has begun. */
     int status() {
         return head.status().code();
     }
 
+    /** Value of the header in the latest response that has begun, or null. */
     String header(CharSequence name) {
         return head.headers().get(name);
     }
 
-    /** Whether the server keeps the connection for the next request. */
+    /** Whether the connection can take another request after this response. */
     boolean isKeepAlive() {
         return HttpUtil.isKeepAlive(head) && isFramed();
     }
 
+    /** The complete response; to be called only when it {@link #isWhole}. */
     Answer answer() {
         return new Answer(status(), header(HttpHeaderNames.CONTENT_TYPE),
-                size == body.length ? body : Arrays.copyOf(body, size));
+                bodyBytes == body.length ? body : Arrays.copyOf(body, bodyBytes));
     }
 }
--- a/src/main/java/cedarrelay/node/BadRequest.java
+++ b/src/main/java/cedarrelay/node/BadRequest.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A client's request that can't be taken; the message is the short reason it is told. */
+/** A client's request that is rejected with a 4xx status; the message is the reason sent to the client. */
 final class BadRequest extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/cedarrelay/node/ClientConnection.java
+++ b/src/main/java/cedarrelay/node/ClientConnection.java
@@ -34,111 +34,143 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
 
-/** One client's connection: its requests one by one, an answer to each, and what it may cost meanwhile. */
+/**
+ * The handler of one client connection. Handles its requests one at a time, in the order in which they
+ * arrive, and limits the time and the memory that the connection may take.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = System.getLogger(ClientConnection.class.getName());
-    private static final int MAX_BODY = 64 * 1024;
-    /** Requests that a client may send ahead of its answers before it is no longer read. */
-    private static final int MOST_AHEAD = 16;
-    /** Requests one after the other that can't be used; a client that sends more doesn't mean to ask. */
-    private static final int MOST_BAD = 4;
-    /** How long a connection may be without a whole request at its start, and how long one may take from
-     * its first byte to its last, or an answer to be read: no client waits so long for an answer. */
-    private static final long PATIENCE_NS = TimeUnit.MILLISECONDS.toNanos(2_000);
-    /** How long a client may take to read the reason why its connection is closed. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** Pipelined requests at which reading from the client stops. */
+    private static final int MAX_PIPELINED = 16;
+    /** Consecutive 4xx responses after which the connection is closed, as its client sends nothing usable. */
+    private static final int MAX_CLIENT_ERRORS = 4;
+    /**
+     * Time limit for the first complete request of a connection, for each request from its first byte to
+     * its last, and for a response to be written to the socket. No client waits this long for a response.
+     */
+    private static final long CLIENT_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(2_000);
+    /** How long the connection stays open after a final error response, so that the client can read it. */
     private static final long LINGER_MS = 500;
-    /** What is read and thrown away meanwhile: closed on unread bytes, the system would take the reason
-     * back. */
-    private static final int MOST_THROWN_AWAY = 256 * 1024;
-    /** Reads at once when it is asked whether the client is there: one that sends without end is. */
-    private static final int MOST_READS = 64;
-    private static final String READY = "/ready";
+    /**
+     * Upper limit of the input that is read and discarded meanwhile. Closing a socket that holds unread
+     * input resets the connection, and the client may then lose the error response.
+     */
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
+    /** Reads per check for a disconnect: a client that is still sending after these is connected. */
+    private static final int MAX_READS_PER_CHECK = 64;
+    private static final String READY_PATH = "/ready";
 
-    /** A request read while an earlier one on its connection still waits for its answer. */
-    private record Ahead(FullHttpRequest http, long arrivedNs, long cost) { }
+    /**
+     * A complete request that waits until the earlier ones on its connection are answered.
+     *
+     * @param arrivedNs when it arrived, by {@link System#nanoTime}
+     * @param costBytes memory counted for it
+     */
+    private record PipelinedRequest(FullHttpRequest http, long arrivedNs, long costBytes) { }
 
-    private final ClientServer server;
+    private final ClientServer listener;
     private final Channel channel;
     private final RequestDecoder decoder = new RequestDecoder();
-    private final Deque<Ahead> ahead = new ArrayDeque<>();
+    private final Deque<PipelinedRequest> pipelined = new ArrayDeque<>();
     private final long openedNs = System.nanoTime();
-    /** When the client may have connected: one that is accepted late has sent its request long since. */
+    /**
+     * The earliest time at which the client may have connected: a connection accepted after a lag of the
+     * event loop may have had its request waiting in the kernel for as long.
+     */
     private final long connectedNs;
-    private final int openedBeat;
-    private Exchange held;
-    private long heldCost;
-    private long partCost;
-    private long begunNs;
-    private long answeredNs;
-    private int unwritten;
-    private int bad;
-    private int thrownAway;
-    private long received;
-    private boolean asked;
-    /** Nothing more is taken: what is held and waits is answered, then the connection closed. */
-    private boolean deaf;
-    private boolean ending;
-
-    private ClientConnection(ClientServer server, Channel channel) {
-        this.server = server;
+    /** Ticks of the lag measurement before the connection was opened. */
+    private final int openedTick;
+    /** The request that waits for its response, or null. */
+    private Exchange pending;
+    /** Memory counted for the pending request. */
+    private long pendingCostBytes;
+    /** Memory counted for the request that is being read. */
+    private long partialCostBytes;
+    /** When the request that is being read began; 0 if none is. */
+    private long requestBegunNs;
+    /** When the latest response was passed to the channel. */
+    private long respondedNs;
+    /** Responses passed to the channel and not yet written completely. */
+    private int unwrittenResponses;
+    /** Consecutive 4xx responses. */
+    private int clientErrors;
+    private int discardedBytes;
+    /** Bytes read from the client so far. */
+    private long receivedBytes;
+    /** Whether the client has sent a complete request. */
+    private boolean requestReceived;
+    /** Further input is discarded; the connection is closed after the requests read so far are answered. */
+    private boolean discardingInput;
+    /** The final response has been passed to the channel; the connection is closed after it. */
+    private boolean closingAfterResponse;
+
+    private ClientConnection(ClientServer listener, Channel channel) {
+        this.listener = listener;
         this.channel = channel;
-        connectedNs = openedNs - stallNs();
-        openedBeat = server.stall().beats();
+        connectedNs = openedNs - loopLagNs();
+        openedTick = listener.stall().beats();
     }
 
-    /** Sets up a client's connection. */
-    static void open(ClientServer server, ChannelPipeline pipeline) {
-        ClientConnection connection = new ClientConnection(server, pipeline.channel());
-        pipeline.addLast(connection.new Deafness(), connection.decoder, new HttpResponseEncoder(),
-                connection.new BodyReader(), connection);
+    /** Adds the handlers of a new client connection to its pipeline. */
+    static void open(ClientServer listener, ChannelPipeline pipeline) {
+        ClientConnection connection = new ClientConnection(listener, pipeline.channel());
+        pipeline.addLast(connection.new InputDiscarder(), connection.decoder, new HttpResponseEncoder(),
+                connection.new RequestAggregator(), connection);
     }
 
-    /** Whether closing it costs nobody an answer: nothing is held, and nothing has begun to come. */
+    /** Whether no request is pending, pipelined or partly read and no response is still being written. */
     boolean isIdle() {
-        return held == null && unwritten == 0 && ahead.isEmpty() && !decoder.isMidRequest();
+        return pending == null && unwrittenResponses == 0 && pipelined.isEmpty() && !decoder.isMidRequest();
     }
 
-    /** Since when it has been so, by {@link System#nanoTime}. */
+    /** Since when an idle connection has been idle, by {@link System#nanoTime}. */
     long restingSinceNs() {
-        return asked ? answeredNs : openedNs;
+        return requestReceived ? respondedNs : openedNs;
     }
 
+    /** Closes the connection, and records a violation if a request that was read is still unanswered. */
     void close() {
-        if (channel.isActive() && !ending && unwritten == 0 && (held != null || !ahead.isEmpty())) {
-            server.closedUnanswered(channel.remoteAddress());
+        if (channel.isActive() && !closingAfterResponse && unwrittenResponses == 0
+                && (pending != null || !pipelined.isEmpty())) {
+            listener.closedUnanswered(channel.remoteAddress());
         }
         channel.close();
     }
 
     /**
-     * Whether its client is still there, as far as the system can tell: what has come of it is read first,
-     * also while it is not read otherwise or the loop is behind, for its end may lie at the end of that.
+     * Whether the client is still connected, as far as the kernel knows. Reads the input that has arrived,
+     * even while automatic reading is off or the event loop lags, as the client's close may come after it.
      */
     boolean isThere() {
         if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
-            long before = -1;
-            for (int i = 0; i < MOST_READS && before != received && channel.isActive(); i++) {
-                before = received;
+            long receivedBefore = -1;
+            for (int i = 0; i < MAX_READS_PER_CHECK
+                    && receivedBefore != receivedBytes && channel.isActive(); i++) {
+                receivedBefore = receivedBytes;
                 unsafe.read();
             }
         }
         return channel.isActive();
     }
 
-    /** Whether nothing has come that is not read yet: read first, so that closing it drops no request. */
+    /**
+     * Whether the connection is open and idle after reading the input that has arrived. To be checked
+     * before an idle connection is closed, so that no request is lost.
+     */
     boolean isQuiet() {
         return isThere() && isIdle();
     }
 
-    /** Closes the connection if its client has kept it waiting for too long. */
+    /** Closes the connection if its client has exceeded a time limit; a partial request is answered 408. */
     void closeIfOverdue(long nowNs) {
-        if (ending || unwritten > 0) {
-            if (nowNs - answeredNs > PATIENCE_NS) {
+        if (closingAfterResponse || unwrittenResponses > 0) {
+            if (nowNs - respondedNs > CLIENT_TIMEOUT_NS) {
                 close();
             }
             return;
         }
-        // On a loop that is behind the rest of the request may have come long since.
+        // If the event loop lags, the rest of the request may have arrived in time: isThere() reads it.
         if (isOverdue(nowNs) && isThere() && isOverdue(nowNs)) {
             if (decoder.isMidRequest()) {
                 reject(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
@@ -149,141 +181,143 @@
     }
 
     private boolean isOverdue(long nowNs) {
-        if (held != null || !ahead.isEmpty()) {
+        if (pending != null || !pipelined.isEmpty()) {
             return false;
         }
-        return decoder.isMidRequest() ? nowNs - (asked ? begunNs : openedNs) > PATIENCE_NS
-                : !asked && nowNs - openedNs > PATIENCE_NS;
+        return decoder.isMidRequest()
+                ? nowNs - (requestReceived ? requestBegunNs : openedNs) > CLIENT_TIMEOUT_NS
+                : !requestReceived && nowNs - openedNs > CLIENT_TIMEOUT_NS;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        server.opened(this);
+        listener.opened(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        server.closed(this);
-        for (Ahead next : ahead) {
+        listener.closed(this);
+        for (PipelinedRequest next : pipelined) {
             next.http.release();
-            server.inHand().remove(next.cost);
+            listener.inHand().remove(next.costBytes);
         }
-        ahead.clear();
-        server.inHand().remove(partCost + heldCost);
-        partCost = 0;
-        heldCost = 0;
-        if (held != null) {
-            Exchange left = held;
-            held = null;
-            left.gone();
+        pipelined.clear();
+        listener.inHand().remove(partialCostBytes + pendingCostBytes);
+        partialCostBytes = 0;
+        pendingCostBytes = 0;
+        if (pending != null) {
+            Exchange abandoned = pending;
+            pending = null;
+            abandoned.gone();
         }
     }
 
     /**
-     * Since when the client's time has been running: a loop that was behind left what came unread, and on a
-     * new connection for a turn more, the one that accepted it.
+     * When a request that is read now may have arrived, by {@link System#nanoTime}. A lagging event loop
+     * left it unread for the length of its lag, and on a new connection for one more iteration, the one
+     * that accepted the connection.
      */
     private long arrivedNs() {
-        long arrivedNs = System.nanoTime() - stallNs();
-        return !asked && server.stall().beats() - openedBeat <= 1 ? Math.min(arrivedNs, connectedNs)
-                : arrivedNs;
+        long arrivedNs = System.nanoTime() - loopLagNs();
+        return !requestReceived && listener.stall().beats() - openedTick <= 1
+                ? Math.min(arrivedNs, connectedNs) : arrivedNs;
     }
 
-    private long stallNs() {
-        return TimeUnit.MICROSECONDS.toNanos(server.stall().us());
+    private long loopLagNs() {
+        return TimeUnit.MICROSECONDS.toNanos(listener.stall().us());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         long arrivedNs = arrivedNs();
-        server.inHand().remove(partCost);
-        partCost = 0;
-        if (deaf || !(message instanceof FullHttpRequest http)) {
+        listener.inHand().remove(partialCostBytes);
+        partialCostBytes = 0;
+        if (discardingInput || !(message instanceof FullHttpRequest http)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        long cost = InHand.costOf(http.decoderResult() instanceof HttpMessageDecoderResult size
-                ? size.totalSize() : 0, http.content().readableBytes());
-        if (!server.inHand().add(cost)) {
+        long costBytes = InHand.costOf(http.decoderResult() instanceof HttpMessageDecoderResult decoded
+                ? decoded.totalSize() : 0, http.content().readableBytes());
+        if (!listener.inHand().add(costBytes)) {
             http.release();
             reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too much at once"));
             return;
         }
-        asked = true;
-        server.heardFrom(this);
-        if (held == null && ahead.isEmpty()) {
-            // Not before all is read that has come: behind the request there may be the client's close. A
-            // node that is behind would else work mostly for clients that have left, and so stay behind.
-            channel.eventLoop().execute(this::takeAhead);
+        requestReceived = true;
+        listener.heardFrom(this);
+        if (pending == null && pipelined.isEmpty()) {
+            // Runs after all input that has arrived is read, as the client's close may follow the request.
+            // Otherwise an overloaded node would work mostly for disconnected clients and stay overloaded.
+            channel.eventLoop().execute(this::handleNextPipelined);
         }
-        ahead.add(new Ahead(http, arrivedNs, cost));
-        channel.config().setAutoRead(ahead.size() < MOST_AHEAD);
+        pipelined.add(new PipelinedRequest(http, arrivedNs, costBytes));
+        channel.config().setAutoRead(pipelined.size() < MAX_PIPELINED);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!decoder.isMidRequest()) {
-            begunNs = 0;
-        } else if (begunNs == 0) {
-            begunNs = System.nanoTime();
+            requestBegunNs = 0;
+        } else if (requestBegunNs == 0) {
+            requestBegunNs = System.nanoTime();
         }
     }
 
-    private void take(FullHttpRequest http, long arrivedNs, long cost) {
-        heldCost = cost;
+    private void handle(FullHttpRequest http, long arrivedNs, long costBytes) {
+        pendingCostBytes = costBytes;
         try {
             if (http.decoderResult().isFailure()) {
-                reject(malformed(http.decoderResult().cause()));
+                reject(decodingError(http.decoderResult().cause()));
                 return;
             }
             boolean keepAlive = HttpUtil.isKeepAlive(http);
-            if (http.uri().equals(READY)) {
-                answer(ready(http), keepAlive);
+            if (http.uri().equals(READY_PATH)) {
+                answer(readyResponse(http), keepAlive);
                 return;
             }
-            if (server.isMetrics(http)) {
-                answer(metrics(http), keepAlive);
+            if (listener.isMetrics(http)) {
+                answer(metricsResponse(http), keepAlive);
                 return;
             }
-            if (server.isRehearsal(http)) {
+            if (listener.isRehearsal(http)) {
                 answer(Exchange.plain(HttpResponseStatus.OK, "rehearsed"), keepAlive);
                 return;
             }
-            held = new Exchange(this, server.read(http), arrivedNs, keepAlive);
-            server.take(held);
+            pending = new Exchange(this, listener.read(http), arrivedNs, keepAlive);
+            listener.take(pending);
         } catch (BadRequest e) {
-            turnAway(e, http);
+            respondWithError(e, http);
         } finally {
             http.release();
         }
     }
 
-    private void turnAway(BadRequest e, FullHttpRequest http) {
-        FullHttpResponse response = bad(e);
-        boolean head = http.method().equals(HttpMethod.HEAD);
-        if (head) {
-            // An answer to HEAD has no body, whatever its length says.
+    private void respondWithError(BadRequest e, FullHttpRequest http) {
+        FullHttpResponse response = errorResponse(e);
+        boolean isHead = http.method().equals(HttpMethod.HEAD);
+        if (isHead) {
+            // A response to HEAD has no body, whatever its Content-Length says.
             response = response.replace(Unpooled.EMPTY_BUFFER);
         }
-        answer(response, HttpUtil.isKeepAlive(http) && !head);
+        answer(response, HttpUtil.isKeepAlive(http) && !isHead);
     }
 
-    private FullHttpResponse metrics(FullHttpRequest http) {
+    private FullHttpResponse metricsResponse(FullHttpRequest http) {
         return http.method().equals(HttpMethod.GET)
-                ? Exchange.plain(HttpResponseStatus.OK, server.metrics())
-                : bad(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
+                ? Exchange.plain(HttpResponseStatus.OK, listener.metrics())
+                : errorResponse(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
     }
 
-    private FullHttpResponse ready(FullHttpRequest http) {
+    private FullHttpResponse readyResponse(FullHttpRequest http) {
         if (!http.method().equals(HttpMethod.GET)) {
-            return bad(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
+            return errorResponse(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
         }
-        String not = server.notReady();
-        return not == null ? Exchange.plain(HttpResponseStatus.OK, "ready")
-                : Exchange.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, not);
+        String notReadyReason = listener.notReady();
+        return notReadyReason == null ? Exchange.plain(HttpResponseStatus.OK, "ready")
+                : Exchange.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, notReadyReason);
     }
 
-    private static FullHttpResponse bad(BadRequest e) {
+    private static FullHttpResponse errorResponse(BadRequest e) {
         FullHttpResponse response = Exchange.plain(e.status(), e.getMessage());
         if (e.status().equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
             response.headers().set(HttpHeaderNames.ALLOW, e.getMessage().replace("use ", ""));
@@ -291,7 +325,7 @@
         return response;
     }
 
-    private static BadRequest malformed(Throwable cause) {
+    private static BadRequest decodingError(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
             return new BadRequest(HttpResponseStatus.REQUEST_URI_TOO_LONG, "request line too long");
         }
@@ -301,14 +335,17 @@
         return new BadRequest(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
     }
 
-    /** Nothing that follows on the connection can be understood; what is held is answered first. */
+    /**
+     * Discards all further input, as it can't be parsed or exceeds a limit. Sends the given error and closes
+     * the connection, unless earlier requests are unanswered: then the last of their responses closes it.
+     */
     private void reject(BadRequest e) {
-        deaf = true;
-        if (held != null || !ahead.isEmpty() || ending) {
+        discardingInput = true;
+        if (pending != null || !pipelined.isEmpty() || closingAfterResponse) {
             return;
         }
-        ending = true;
-        write(closing(bad(e))).addListener(written -> {
+        closingAfterResponse = true;
+        write(withConnectionClose(errorResponse(e))).addListener(written -> {
             if (channel instanceof SocketChannel socket) {
                 socket.shutdownOutput();
             }
@@ -316,45 +353,49 @@
         });
     }
 
-    /** The answer to the request that is held or has just been read. */
+    /**
+     * Sends the response to the pending request or to the one that has just been read, then handles the
+     * next one or, where the connection can't be kept, closes it.
+     */
     void answer(FullHttpResponse response, boolean keepAlive) {
-        bad = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? bad + 1 : 0;
-        held = null;
-        server.inHand().remove(heldCost);
-        heldCost = 0;
-        boolean last = ahead.isEmpty();
-        boolean keep = keepAlive && !ending && bad < MOST_BAD
-                && !(last && (deaf || server.endsConnections()));
-        ChannelFuture writing = write(keep ? response : closing(response));
-        if (!keep) {
-            deaf = true;
-            ending = true;
+        clientErrors = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? clientErrors + 1 : 0;
+        pending = null;
+        listener.inHand().remove(pendingCostBytes);
+        pendingCostBytes = 0;
+        boolean lastRequest = pipelined.isEmpty();
+        boolean keepOpen = keepAlive && !closingAfterResponse && clientErrors < MAX_CLIENT_ERRORS
+                && !(lastRequest && (discardingInput || listener.endsConnections()));
+        ChannelFuture writing = write(keepOpen ? response : withConnectionClose(response));
+        if (!keepOpen) {
+            discardingInput = true;
+            closingAfterResponse = true;
             writing.addListener(ChannelFutureListener.CLOSE);
-        } else if (!last) {
-            // Later, not from here: a long line of requests that can't be taken would go as deep; and not
-            // before the answer is written: a client that doesn't read must not have them pile up.
-            writing.addListener(written -> channel.eventLoop().execute(this::takeAhead));
-        } else if (server.isClosing()) {
+        } else if (!lastRequest) {
+            // As a task, because direct calls would nest once per pipelined request that is rejected; and
+            // after the write, so that responses don't pile up for a client that doesn't read them.
+            writing.addListener(written -> channel.eventLoop().execute(this::handleNextPipelined));
+        } else if (listener.isClosing()) {
             close();
         }
     }
 
     private ChannelFuture write(FullHttpResponse response) {
-        unwritten++;
-        answeredNs = System.nanoTime();
-        return channel.writeAndFlush(response).addListener(written -> unwritten--);
+        unwrittenResponses++;
+        respondedNs = System.nanoTime();
+        return channel.writeAndFlush(response).addListener(written -> unwrittenResponses--);
     }
 
-    private void takeAhead() {
-        // One that has closed is told of only by a later task.
-        Ahead next = held == null && !ending && channel.isActive() ? ahead.poll() : null;
+    private void handleNextPipelined() {
+        // The channel may be closed already: channelInactive, which clears the queue, runs in a later task.
+        PipelinedRequest next = pending == null && !closingAfterResponse && channel.isActive()
+                ? pipelined.poll() : null;
         if (next != null) {
             channel.config().setAutoRead(true);
-            take(next.http, next.arrivedNs, next.cost);
+            handle(next.http, next.arrivedNs, next.costBytes);
         }
     }
 
-    private static FullHttpResponse closing(FullHttpResponse response) {
+    private static FullHttpResponse withConnectionClose(FullHttpResponse response) {
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         return response;
     }
@@ -362,60 +403,61 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!channel.isActive() || cause instanceof IOException) {
-            // It broke, or ended within a request: nothing is owed any more.
+            // The connection broke or was closed within a request, so no response can be sent.
             channel.close();
             return;
         }
-        // A fault of ours: what was taken is still owed its answer.
-        LOG.log(Level.ERROR, "a client's connection failed", cause);
-        if (held != null) {
-            held.failed(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+        // An error in this program: the pending request still gets a response.
+        LOG.log(Level.ERROR, "unexpected error while handling a client connection", cause);
+        if (pending != null) {
+            pending.failed(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
         } else {
             close();
         }
     }
 
-    /** Once nothing more is taken, bytes cost no decoding, and beyond some of them no reading. */
-    private final class Deafness extends ChannelInboundHandlerAdapter {
+    /** Once further input is discarded, skips its decoding, and beyond a limit stops reading it. */
+    private final class InputDiscarder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            int more = message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-            received += more;
-            if (!deaf) {
+            int addedBytes = message instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
+            receivedBytes += addedBytes;
+            if (!discardingInput) {
                 ctx.fireChannelRead(message);
                 return;
             }
-            thrownAway += more;
+            discardedBytes += addedBytes;
             ReferenceCountUtil.release(message);
-            if (thrownAway > MOST_THROWN_AWAY) {
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 channel.config().setAutoRead(false);
             }
         }
     }
 
-    /** Reads a request whole; one that is too large is told so and its connection closed. */
-    private final class BodyReader extends HttpObjectAggregator {
-        BodyReader() {
-            super(MAX_BODY, true);
+    /** Aggregates a request and its body; rejects one that is too large and closes the connection. */
+    private final class RequestAggregator extends HttpObjectAggregator {
+        RequestAggregator() {
+            super(MAX_BODY_BYTES, true);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            int more = message instanceof HttpContent content ? content.content().readableBytes() : 0;
-            if (deaf || !server.inHand().add(more)) {
+            int addedBytes = message instanceof HttpContent content ? content.content().readableBytes() : 0;
+            if (discardingInput || !listener.inHand().add(addedBytes)) {
                 ReferenceCountUtil.release(message);
                 reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too much at once"));
                 return;
             }
-            partCost += more;
+            partialCostBytes += addedBytes;
             super.channelRead(ctx, message);
         }
 
         @Override
-        protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
-            // It would overtake the answer to an earlier request; and a client may go on without it.
-            return held == null && ahead.isEmpty() && unwritten == 0
-                    ? super.newContinueResponse(start, most, pipeline) : null;
+        protected Object newContinueResponse(HttpMessage start, int maxContentLength,
+                ChannelPipeline pipeline) {
+            // It would overtake the response to an earlier request; a client may send the body without it.
+            return pending == null && pipelined.isEmpty() && unwrittenResponses == 0
+                    ? super.newContinueResponse(start, maxContentLength, pipeline) : null;
         }
 
         @Override
--- a/src/main/java/cedarrelay/node/ClientRequest.java
+++ b/src/main/java/cedarrelay/node/ClientRequest.java
@@ -18,28 +18,40 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * A client's request, read and checked.
+ * A client's request, parsed and checked.
  *
- * @param id its {@code X-Txn}
- * @param remainingUs how long the client waits, counted from when it sent the request
- * @param headers what goes on to a server: all but what belongs to the client's connection
+ * @param id the value of {@code X-Txn}, which identifies the request
+ * @param classIndex index of its class in {@code Settings.classes}
+ * @param tenant index of its tenant in {@code Settings.tenants}, or -1 without {@code X-Org}
+ * @param remainingUs how long the client waits from when it sent the request, at most the class's deadline
+ * @param workUs the client's estimate of the work that the request takes; 0 without a usable one
+ * @param retry whether the client marks it as a retry
+ * @param method GET for a safe class, otherwise POST
+ * @param uri the request target, as the client sent it
+ * @param headers the headers for the server, without those that concern only the client's connection
  */
 record ClientRequest(long id, int classIndex, int tenant, long remainingUs, long workUs, boolean retry,
         HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
 
+    /** Header with the time for which the sender waits for the response. */
     static final String REMAINING = "X-Remaining-Ms";
-    private static final String ID = "X-Txn";
+    private static final String REQUEST_ID = "X-Txn";
     private static final String TENANT = "X-Org";
-    private static final String KEY = "Idempotency-Key";
+    private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
     private static final String RETRY = "X-Resent";
-    private static final String ESTIMATE = "X-Estimate";
-    /** Of one connection only, or set anew for the next. */
-    private static final CharSequence[] HOP_BY_HOP = {HttpHeaderNames.CONNECTION, "Keep-Alive",
+    private static final String WORK_ESTIMATE = "X-Estimate";
+    /** Headers that concern one connection only, or that are set anew on the request to the server. */
+    private static final CharSequence[] HOP_BY_HOP_HEADERS = {HttpHeaderNames.CONNECTION, "Keep-Alive",
         HttpHeaderNames.PROXY_AUTHORIZATION, HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
         HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT,
         HttpHeaderNames.CONTENT_LENGTH, REMAINING};
 
-    /** The message for a server that is waited for so long. */
+    /**
+     * Builds the message to a server.
+     *
+     * @param waitUs how long this node waits for the response, in microseconds; sent in milliseconds, at
+     *         least 1
+     */
     FullHttpRequest forServer(long waitUs) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri,
                 Unpooled.wrappedBuffer(body), headers.copy(),
@@ -51,7 +63,7 @@
         return message;
     }
 
-    /** Reads requests by the names in the settings. */
+    /** Parses and checks requests, by the classes and tenants of the settings. */
     static final class Reader {
         private final Settings settings;
         private final Map<String, Integer> classes = new HashMap<>();
@@ -67,47 +79,53 @@
             return classes.containsKey(name);
         }
 
+        /**
+         * Parses a complete request.
+         *
+         * @throws BadRequest if it can't be forwarded, with the status and the reason for the client
+         */
         ClientRequest read(FullHttpRequest http) throws BadRequest {
             HttpHeaders headers = http.headers();
             Integer classIndex = classes.get(className(http.uri()));
             if (classIndex == null) {
                 throw new BadRequest(HttpResponseStatus.NOT_FOUND, "unknown class of request");
             }
-            RequestClass cls = settings.classes.get(classIndex);
-            HttpMethod method = cls.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
+            RequestClass requestClass = settings.classes.get(classIndex);
+            HttpMethod method = requestClass.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
             if (!http.method().equals(method)) {
                 throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
             }
-            if (cls.repeat() == Repeat.KEYED && !headers.contains(KEY)) {
-                throw bad(KEY + " is missing");
+            if (requestClass.repeat() == Repeat.KEYED && !headers.contains(IDEMPOTENCY_KEY)) {
+                throw badRequest(IDEMPOTENCY_KEY + " is missing");
             }
-            String org = headers.get(TENANT);
-            Integer tenant = org == null ? Integer.valueOf(-1) : tenants.get(org);
+            String tenantName = headers.get(TENANT);
+            Integer tenant = tenantName == null ? Integer.valueOf(-1) : tenants.get(tenantName);
             if (tenant == null) {
-                throw bad("unknown " + TENANT);
+                throw badRequest("unknown " + TENANT);
             }
-            // Up to nine digits: more than eleven days is no wait.
-            long remainingMs = whole(headers.get(REMAINING), 9);
+            // At most nine digits, which is eleven days: no client waits longer.
+            long remainingMs = parseDigits(headers.get(REMAINING), 9);
             if (remainingMs < 0) {
-                throw bad(REMAINING + " is missing or no whole number of milliseconds");
+                throw badRequest(REMAINING + " is missing or no whole number of milliseconds");
             }
-            long workUs = Math.max(0, whole(headers.get(ESTIMATE), 12));
-            HttpHeaders onward = headers.copy();
-            for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
-                for (String name : named.split(",")) {
-                    if (!name.isBlank() && !name.trim().equalsIgnoreCase(ID)
-                            && !name.trim().equalsIgnoreCase(KEY)) {
-                        onward.remove(name.trim());
+            long workUs = Math.max(0, parseDigits(headers.get(WORK_ESTIMATE), 12));
+            HttpHeaders forwardedHeaders = headers.copy();
+            // Headers that Connection names concern one connection only; the id and the key always pass.
+            for (String connectionHeader : headers.getAll(HttpHeaderNames.CONNECTION)) {
+                for (String name : connectionHeader.split(",")) {
+                    if (!name.isBlank() && !name.trim().equalsIgnoreCase(REQUEST_ID)
+                            && !name.trim().equalsIgnoreCase(IDEMPOTENCY_KEY)) {
+                        forwardedHeaders.remove(name.trim());
                     }
                 }
             }
-            for (CharSequence name : HOP_BY_HOP) {
-                onward.remove(name);
+            for (CharSequence name : HOP_BY_HOP_HEADERS) {
+                forwardedHeaders.remove(name);
             }
-            // No client waits longer than the settings say, whatever it says itself.
-            long remainingUs = Math.min(1_000 * remainingMs, cls.deadlineUs());
+            // The deadline in the settings limits the time that the client itself states.
+            long remainingUs = Math.min(1_000 * remainingMs, requestClass.deadlineUs());
             return new ClientRequest(id(headers), classIndex, tenant, remainingUs, workUs,
-                    "1".equals(headers.get(RETRY)), method, http.uri(), onward,
+                    "1".equals(headers.get(RETRY)), method, http.uri(), forwardedHeaders,
                     ByteBufUtil.getBytes(http.content()));
         }
 
@@ -120,16 +138,16 @@
         }
 
         private static long id(HttpHeaders headers) throws BadRequest {
-            String id = headers.get(ID);
-            if (id == null || !id.matches("[0-9a-fA-F]{16}") || headers.getAll(ID).size() > 1) {
-                throw bad(ID + " is missing or not 16 hex digits");
+            String id = headers.get(REQUEST_ID);
+            if (id == null || !id.matches("[0-9a-fA-F]{16}") || headers.getAll(REQUEST_ID).size() > 1) {
+                throw badRequest(REQUEST_ID + " is missing or not 16 hex digits");
             }
             return Long.parseUnsignedLong(id, 16);
         }
 
-        /** Plain digits, or -1. */
-        private static long whole(String text, int mostDigits) {
-            if (text == null || text.isEmpty() || text.length() > mostDigits) {
+        /** Parses a number of at most so many ASCII digits; -1 if the text is null or anything else. */
+        private static long parseDigits(String text, int maxDigits) {
+            if (text == null || text.isEmpty() || text.length() > maxDigits) {
                 return -1;
             }
             for (int i = 0; i < text.length(); i++) {
@@ -140,7 +158,7 @@
             return Long.parseLong(text);
         }
 
-        private static BadRequest bad(String reason) {
+        private static BadRequest badRequest(String reason) {
             return new BadRequest(HttpResponseStatus.BAD_REQUEST, reason);
         }
     }
--- a/src/main/java/cedarrelay/node/ClientServer.java
+++ b/src/main/java/cedarrelay/node/ClientServer.java
@@ -26,217 +26,249 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.util.concurrent.ScheduledFuture;
 
-/** The client side as a whole: which connections are accepted, kept and closed. */
+/** Accepts client connections, and closes those that are overdue or idle where sockets run short. */
 final class ClientServer {
-    private static final String METRICS = "/metrics";
-    private static final int BACKLOG = 1_024;
-    /** Connections accepted in one turn of the loop: with few, slow turns leave them waiting for several of
-     * them; but the count of sockets may pass its bound by as many. */
-    private static final int MOST_ACCEPTED = 32;
-    private static final long ACCEPT_AGAIN_MS = 20;
-    /** How long an idle connection is kept once there are many: some clients ask once and never close, and
-     * what the others may open is spent by that. */
-    private static final long KEPT_NS = TimeUnit.MILLISECONDS.toNanos(2_100);
-    /** What has rested for less is not closed to make room. */
-    private static final long YOUNG_NS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** How often connections are looked through for those that keep the node waiting. */
-    private static final long SWEEP_MS = 200;
-    /** Bytes read at once, at most: what is decoded of them is all kept. */
-    private static final int MOST_READ = 16_384;
+    private static final String METRICS_PATH = "/metrics";
+    private static final int ACCEPT_BACKLOG = 1_024;
+    /**
+     * Connections accepted per iteration of the event loop. With fewer, connections wait for several slow
+     * iterations; but the number of sockets may exceed its limit by this many.
+     */
+    private static final int MAX_ACCEPTS_PER_ITERATION = 32;
+    /** Delay before accepting is tried again, after it was paused for lack of room. */
+    private static final long ACCEPT_RETRY_MS = 20;
+    /**
+     * Idle timeout while there are many client connections. Some clients send one request and never close
+     * the connection, which would use up the sockets that other clients need.
+     */
+    private static final long IDLE_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(2_100);
+    /** Connections that have been idle for less than this are not closed to make room. */
+    private static final long MIN_IDLE_NS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Interval between the checks for overdue and idle connections. */
+    private static final long SWEEP_INTERVAL_MS = 200;
+    /** Largest read from a socket: everything that is decoded from one read stays in memory. */
+    private static final int MAX_READ_BYTES = 16_384;
 
     private final EventLoop loop;
     private final Sockets sockets;
     private final Stall stall;
     private final ClientRequest.Reader reader;
-    private final Consumer<Exchange> taker;
+    private final Consumer<Exchange> exchangeHandler;
     private final Metrics metrics;
     private final InHand inHand = InHand.partOfHeap();
-    /** Open connections that have sent a whole request; those heard from most recently last. */
-    private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    /** Those that have sent none so far, oldest first. */
-    private final Set<ClientConnection> silent = new LinkedHashSet<>();
-    private ScheduledFuture<?> sweeper;
-    private Channel listening;
-    private String rehearsal;
+    /** Open connections that have sent a complete request, ordered by when the latest was read. */
+    private final Set<ClientConnection> usedConnections = new LinkedHashSet<>();
+    /** Open connections that have not sent a complete request yet, oldest first. */
+    private final Set<ClientConnection> unusedConnections = new LinkedHashSet<>();
+    private ScheduledFuture<?> sweepTask;
+    private Channel listeningChannel;
+    private String warmUpToken;
     private boolean ready;
     private boolean draining;
-    private boolean closing;
+    private boolean acceptingStopped;
 
+    /**
+     * Creates the client side of a node; it accepts nothing before {@link #listen}.
+     *
+     * @param exchangeHandler receives each request that has been read and accepted for forwarding
+     */
     ClientServer(EventLoop loop, Sockets sockets, Stall stall, ClientRequest.Reader reader,
-            Consumer<Exchange> taker, Metrics metrics) {
+            Consumer<Exchange> exchangeHandler, Metrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
         this.sockets = sockets;
         this.stall = stall;
         this.reader = reader;
-        this.taker = taker;
-        sockets.clientSide(this::closeOldestIdle, this::acceptAgain);
+        this.exchangeHandler = exchangeHandler;
+        sockets.clientSide(this::closeOldestIdle, this::resumeAccepting);
     }
 
-    /** Binds the address; the future tells whether it could be had. */
+    /** Binds the address and accepts connections on it; the future fails if the address can't be bound. */
     ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
         ChannelFuture binding = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MOST_ACCEPTED))
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_ITERATION))
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        // A second time, however little came: so the end behind a request is seen at once.
-                        new AdaptiveRecvByteBufAllocator(512, 2_048, MOST_READ).respectMaybeMoreData(false)
-                                .maxMessagesPerRead(2))
-                .handler(new AcceptGuard())
+                        // Always two reads, however short the first: a close after a request is seen at once.
+                        new AdaptiveRecvByteBufAllocator(512, 2_048, MAX_READ_BYTES)
+                                .respectMaybeMoreData(false).maxMessagesPerRead(2))
+                .handler(new AcceptErrorHandler())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         ClientConnection.open(ClientServer.this, channel.pipeline());
                     }
                 }).bind(address);
-        listening = binding.channel();
-        sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        listeningChannel = binding.channel();
+        sweepTask = loop.scheduleWithFixedDelay(this::closeOverdueAndIdle, SWEEP_INTERVAL_MS,
+                SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return binding;
     }
 
-    private void sweep() {
-        long now = System.nanoTime();
-        for (Set<ClientConnection> some : List.of(silent, connections)) {
-            // A copy: what is closed is taken out at once.
-            new ArrayList<>(some).forEach(c -> c.closeIfOverdue(now));
+    private void closeOverdueAndIdle() {
+        long nowNs = System.nanoTime();
+        for (Set<ClientConnection> connections : List.of(unusedConnections, usedConnections)) {
+            // Iterates over a copy, because a connection that is closed is removed from the set at once.
+            new ArrayList<>(connections).forEach(connection -> connection.closeIfOverdue(nowNs));
         }
         boolean closed = true;
         while (closed && sockets.areClientsMany()) {
-            closed = closeOldestIdle(connections, now - KEPT_NS);
+            closed = closeOldestIdle(usedConnections, nowNs - IDLE_TIMEOUT_NS);
         }
     }
 
-    /** Requests with this token are part of the rehearsal and answered here, also those that one cut short
-     * has left on the way: no server may be sent them. */
+    /**
+     * Sets the token that marks the requests of the warm-up. They are answered here and never sent to a
+     * server, including those that arrive after a warm-up that was cut short.
+     */
     void setRehearsal(String token) {
-        rehearsal = token;
+        warmUpToken = token;
     }
 
-    /** From now on {@code /ready} says so; the rehearsal is over. */
+    /** Reports the node as ready on {@code /ready}; called when the warm-up is over. */
     void setReady() {
         ready = true;
     }
 
-    /** Every answer from here on closes its connection; new connections are still taken. */
+    /**
+     * From now on a connection is closed after the response to the last request read from it, and
+     * {@code /ready} reports that the node is stopping. New connections are still accepted.
+     */
     void drain() {
         draining = true;
     }
 
-    /** No new connections but those that the system has taken already: it would reset them. */
+    /**
+     * Closes the listening socket. First accepts the connections that the kernel has already established,
+     * as closing the socket would reset them.
+     */
     void stopAccepting() {
-        closing = true;
-        int before;
+        acceptingStopped = true;
+        int countBefore;
         do {
-            before = silent.size();
-            ((AbstractNioChannel.NioUnsafe) listening.unsafe()).read();
-        } while (silent.size() > before);
-        listening.close();
+            countBefore = unusedConnections.size();
+            ((AbstractNioChannel.NioUnsafe) listeningChannel.unsafe()).read();
+        } while (unusedConnections.size() > countBefore);
+        listeningChannel.close();
     }
 
     /**
-     * Closes what owes no answer and has rested for a while, once nothing new is accepted; whether none is
-     * left. What the system holds unread is read first: that request is taken.
+     * Closes the connections that have been idle for a while; called after accepting has stopped. Input that
+     * has arrived is read first, and a request in it is handled.
+     *
+     * @return whether no connection is left
      */
     boolean closeResting() {
-        long beforeNs = System.nanoTime() - YOUNG_NS;
-        for (Set<ClientConnection> some : List.of(silent, connections)) {
-            for (ClientConnection connection : new ArrayList<>(some)) {
-                if (connection.isIdle() && connection.restingSinceNs() - beforeNs < 0
+        long idleBeforeNs = System.nanoTime() - MIN_IDLE_NS;
+        for (Set<ClientConnection> connections : List.of(unusedConnections, usedConnections)) {
+            for (ClientConnection connection : new ArrayList<>(connections)) {
+                if (connection.isIdle() && connection.restingSinceNs() - idleBeforeNs < 0
                         && connection.isQuiet()) {
                     connection.close();
                 }
             }
         }
-        return connections.isEmpty() && silent.isEmpty();
+        return usedConnections.isEmpty() && unusedConnections.isEmpty();
     }
 
+    /** The memory that requests take, over all connections. */
     InHand inHand() {
         return inHand;
     }
 
+    /** The lag of the event loop. */
     Stall stall() {
         return stall;
     }
 
-    /** Whether connections end with their answers. */
+    /** Whether a connection is closed after its response instead of kept for a next request. */
     boolean endsConnections() {
         return draining || sockets.areClientsCrowded();
     }
 
+    /** Whether {@link #stopAccepting} has been called. */
     boolean isClosing() {
-        return closing;
+        return acceptingStopped;
     }
 
-    /** Why the node is not to be sent clients, or null. */
+    /** Why the node is not ready for client traffic, as {@code /ready} reports it; null if it is ready. */
     String notReady() {
         return draining ? "stopping" : ready ? null : "starting";
     }
 
+    /** Whether the request belongs to the warm-up, by its token. */
     boolean isRehearsal(FullHttpRequest http) {
-        return rehearsal != null && rehearsal.equals(http.headers().get(Rehearsal.HEADER));
+        return warmUpToken != null && warmUpToken.equals(http.headers().get(Rehearsal.HEADER));
     }
 
-    /** The node's counters, unless a class of requests goes by the same path. */
+    /** The node's metrics, as the body of a response to {@code /metrics}. */
     String metrics() {
         return metrics.render();
     }
 
+    /** Whether the request is for the metrics; a class of requests with the same path has precedence. */
     boolean isMetrics(FullHttpRequest http) {
-        return http.uri().equals(METRICS) && !reader.isClass(METRICS.substring(1));
+        return http.uri().equals(METRICS_PATH) && !reader.isClass(METRICS_PATH.substring(1));
     }
 
-    /** A request has been read whole that its client now gets no answer to. */
+    /** Records that the node closed a connection with a request that was read and not answered. */
     void closedUnanswered(SocketAddress client) {
         metrics.violated(Counter.VIOLATIONS_CLOSE_UNANSWERED, "client " + client);
     }
 
+    /** Parses and checks a request; throws the error to be sent if it can't be forwarded. */
     ClientRequest read(FullHttpRequest http) throws BadRequest {
         return reader.read(http);
     }
 
+    /** Passes a request on to be sent to a server. */
     void take(Exchange exchange) {
-        taker.accept(exchange);
+        exchangeHandler.accept(exchange);
     }
 
+    /** Counts a new connection, and pauses accepting if there is no room for a further one. */
     void opened(ClientConnection connection) {
         sockets.addClient();
         if (!sockets.makeClientRoom()) {
             pauseAccepting();
         }
-        silent.add(connection);
+        unusedConnections.add(connection);
     }
 
-    /** It has sent a whole request. */
+    /** Notes that the connection has sent a complete request. */
     void heardFrom(ClientConnection connection) {
-        if (silent.remove(connection) || connections.remove(connection)) {
-            connections.add(connection);
+        if (unusedConnections.remove(connection) || usedConnections.remove(connection)) {
+            usedConnections.add(connection);
         }
     }
 
+    /** Removes a closed connection; has no effect the second time. */
     void closed(ClientConnection connection) {
-        if (silent.remove(connection) || connections.remove(connection)) {
+        if (unusedConnections.remove(connection) || usedConnections.remove(connection)) {
             sockets.removeClient();
         }
     }
 
     /**
-     * Those first that never asked: closing another can cross its next request. But none that has only just
-     * come or been answered: the system may hold its request already, unread while others are accepted.
+     * Closes one idle connection, if there is one. Connections that have never sent a request come first, as
+     * closing another can race with its next request. Connections that were opened or answered only just now
+     * are kept: the kernel may hold their request already, unread while others are accepted.
      */
     private boolean closeOldestIdle() {
-        long beforeNs = System.nanoTime() - YOUNG_NS;
-        return closeOldestIdle(silent, beforeNs) || closeOldestIdle(connections, beforeNs);
+        long idleBeforeNs = System.nanoTime() - MIN_IDLE_NS;
+        return closeOldestIdle(unusedConnections, idleBeforeNs)
+                || closeOldestIdle(usedConnections, idleBeforeNs);
     }
 
-    private boolean closeOldestIdle(Set<ClientConnection> some, long beforeNs) {
-        // A copy: to look at one may bring its request, which moves it.
-        for (ClientConnection connection : new ArrayList<>(some)) {
-            if (connection.isIdle() && connection.restingSinceNs() - beforeNs < 0
+    private boolean closeOldestIdle(Set<ClientConnection> connections, long idleBeforeNs) {
+        // Iterates over a copy, because isQuiet() may read a request, which moves the connection.
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            if (connection.isIdle() && connection.restingSinceNs() - idleBeforeNs < 0
                     && connection.isQuiet()) {
                 connection.close();
-                // Counted off here: Netty tells of it only later, and what waits would take it for no room.
+                // Netty calls channelInactive only later, and until then the caller would find no room.
                 closed(connection);
                 return true;
             }
@@ -244,37 +276,38 @@
         return false;
     }
 
-    /** Connections then wait in the system's queue. */
+    /** Stops accepting for a while; new connections wait in the kernel's accept queue. */
     private void pauseAccepting() {
-        if (listening != null) {
-            listening.config().setAutoRead(false);
-            loop.schedule(this::acceptLater, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+        if (listeningChannel != null) {
+            listeningChannel.config().setAutoRead(false);
+            loop.schedule(this::retryAccepting, ACCEPT_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** One that has become idle since makes room too, and tells nobody. */
-    private void acceptLater() {
-        if (listening.isOpen() && !listening.config().isAutoRead()) {
+    /** Checks for room again: a connection may have become idle, which causes no notification. */
+    private void retryAccepting() {
+        if (listeningChannel.isOpen() && !listeningChannel.config().isAutoRead()) {
             if (sockets.makeClientRoom()) {
-                acceptAgain();
+                resumeAccepting();
             } else {
-                loop.schedule(this::acceptLater, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::retryAccepting, ACCEPT_RETRY_MS, TimeUnit.MILLISECONDS);
             }
         }
     }
 
-    private void acceptAgain() {
-        if (listening != null && listening.isOpen() && !listening.config().isAutoRead()
+    /** Starts accepting again if there is room; called when a socket has been closed. */
+    private void resumeAccepting() {
+        if (listeningChannel != null && listeningChannel.isOpen() && !listeningChannel.config().isAutoRead()
                 && sockets.isClientRoom()) {
-            listening.config().setAutoRead(true);
+            listeningChannel.config().setAutoRead(true);
         }
     }
 
-    /** Stops accepting when the system has no descriptor left, whatever the count says. */
-    private final class AcceptGuard extends ChannelInboundHandlerAdapter {
+    /** Pauses accepting when it fails, as without a free file descriptor, whatever the socket count says. */
+    private final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Left alone, the selector would report the same connection without end.
+            // Without a pause the selector would report the same connection over and over.
             pauseAccepting();
             sockets.closeIdle();
         }
--- a/src/main/java/cedarrelay/node/Exchange.java
+++ b/src/main/java/cedarrelay/node/Exchange.java
@@ -9,13 +9,13 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** A request taken and the one answer that it gets. */
+/** A client's request and the one response to it; once there is a response, further ones are ignored. */
 final class Exchange {
     private final ClientConnection connection;
     private final ClientRequest request;
     private final long arrivedNs;
     private final boolean keepAlive;
-    private Runnable whenGone = () -> { };
+    private Runnable disconnectAction = () -> { };
     private boolean answered;
 
     Exchange(ClientConnection connection, ClientRequest request, long arrivedNs, boolean keepAlive) {
@@ -29,27 +29,28 @@
         return request;
     }
 
-    /** When it came, as far as this node can tell, by {@link System#nanoTime}. */
+    /** When the request arrived, as far as this node can tell, by {@link System#nanoTime}. */
     long arrivedNs() {
         return arrivedNs;
     }
 
-    /** Whether the client still waits for the answer, by what the system knows at this moment. */
+    /** Whether the request is unanswered and the client still connected, as far as the kernel knows. */
     boolean isAwaited() {
         return !answered && connection.isThere();
     }
 
-    /** What to do if the client leaves before its answer. */
+    /** Sets the action to run if the client disconnects before the response. */
     void whenGone(Runnable action) {
-        whenGone = action;
+        disconnectAction = action;
     }
 
-    /** The client has left. */
+    /** Called when the client has disconnected before the response. */
     void gone() {
         answered = true;
-        whenGone.run();
+        disconnectAction.run();
     }
 
+    /** Sends a 200 with the content of a server's response. */
     void served(Answer answer) {
         FullHttpResponse response = response(HttpResponseStatus.OK, answer.body());
         if (answer.contentType() != null) {
@@ -58,7 +59,11 @@
         answer(response);
     }
 
-    /** Trying again is harmless, and best done after so long; 0 gives no advice. */
+    /**
+     * Sends a 503 that promises that the request had no effect, so that the client can safely retry it.
+     *
+     * @param retryAfterUs delay for {@code Retry-After}, in microseconds; 0 sends no such header
+     */
     void refused(long retryAfterUs) {
         FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused, try again");
         if (retryAfterUs > 0) {
@@ -69,7 +74,7 @@
         answer(response);
     }
 
-    /** No promise about its effect. */
+    /** Sends an error that leaves open whether the request had an effect. */
     void failed(HttpResponseStatus status, String reason) {
         answer(plain(status, reason));
     }
@@ -83,6 +88,7 @@
         connection.answer(response, keepAlive);
     }
 
+    /** A plain-text response with the reason as its only line. */
     static FullHttpResponse plain(HttpResponseStatus status, String reason) {
         FullHttpResponse response = response(status, (reason + "\n").getBytes(StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
--- a/src/main/java/cedarrelay/node/RequestDecoder.java
+++ b/src/main/java/cedarrelay/node/RequestDecoder.java
@@ -9,39 +9,44 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** Netty's decoder of requests, strict about their length, and telling whether one has begun to come. */
+/** Netty's request decoder, stricter about a request's length; also tells if a request is incomplete. */
 final class RequestDecoder extends HttpRequestDecoder {
+    /** Longest request line, in bytes. */
     static final int MAX_LINE = 8_192;
+    /** Largest size of all headers of a request, in bytes. */
     static final int MAX_HEADERS = 16_384;
 
-    private boolean begun;
+    private boolean requestBegun;
 
     RequestDecoder() {
         super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_LINE).setMaxHeaderSize(MAX_HEADERS));
     }
 
-    /** Whether part of a request has come, and not yet its end. */
+    /** Whether a request has been received in part. */
     boolean isMidRequest() {
-        return begun || actualReadableBytes() > 0;
+        return requestBegun || actualReadableBytes() > 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out) throws Exception {
         super.decode(ctx, buffer, out);
         if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
-            begun = false;
+            requestBegun = false;
         }
     }
 
     @Override
     protected HttpMessage createMessage(String[] initialLine) throws Exception {
-        begun = true;
+        requestBegun = true;
         return super.createMessage(initialLine);
     }
 
-    /** Netty would believe the one and drop the other; who believes the other sees a second request in it. */
+    /**
+     * Rejects a request with both lengths. Netty would use the chunks and drop Content-Length; a peer that
+     * uses Content-Length would see a second request in the same bytes (request smuggling).
+     */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("two lengths");
+        throw new IllegalArgumentException("request has both Content-Length and chunked encoding");
     }
 }
--- a/src/test/java/cedarrelay/node/NodeTest.java
+++ b/src/test/java/cedarrelay/node/NodeTest.java
@@ -26,23 +26,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The whole node between fake clients, servers and discovery. */
+/** Tests a whole node with fake clients, servers and discovery, over loopback sockets. */
 @Timeout(120)
 class NodeTest {
-    private static final FakePeer.Script SERVED = FakePeer.answer("200 OK", "", "done");
+    private static final FakePeer.Script OK_RESPONSE = FakePeer.answer("200 OK", "", "done");
 
     private EventLoopGroup group;
     private FakePeer discovery;
-    private FakePeer first;
-    private FakePeer second;
+    private FakePeer firstServer;
+    private FakePeer secondServer;
     private Socket client;
 
     @BeforeEach
     void open() throws Exception {
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         discovery = new FakePeer(FakePeer.SILENT);
-        first = new FakePeer(SERVED);
-        second = new FakePeer(SERVED);
+        firstServer = new FakePeer(OK_RESPONSE);
+        secondServer = new FakePeer(OK_RESPONSE);
     }
 
     @AfterEach
@@ -52,17 +52,18 @@
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         discovery.close();
-        first.close();
-        second.close();
+        firstServer.close();
+        secondServer.close();
     }
 
     private int start(JsonObject json) throws Exception {
         CountDownLatch ready = new CountDownLatch(1);
         int port = start(json, 0, ready);
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
+        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "node did not become ready");
         return port;
     }
 
+    /** Starts a node that uses its known list after {@code startMs} without a response of discovery. */
     private int start(JsonObject json, long startMs, CountDownLatch ready) throws Exception {
         EventLoop loop = group.next();
         Config config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
@@ -82,202 +83,203 @@
         return socket;
     }
 
-    private String ask(String request) throws Exception {
+    private String roundTrip(String request) throws Exception {
         FakePeer.write(client, request);
         return FakePeer.read(client);
     }
 
-    private static int status(String answer) {
-        assertNotNull(answer, "the connection ended without an answer");
-        return Integer.parseInt(answer.substring(9, 12));
+    private static int status(String response) {
+        assertNotNull(response, "the connection ended without a response");
+        return Integer.parseInt(response.substring(9, 12));
     }
 
     @Test
-    void aRequestGoesOnUnchangedAndIsServedOnce() throws Exception {
-        start(first);
-        String answer = ask(Fixture.request("POST", "/photo/7?size=2", 1, "Idempotency-Key: abc\r\n"
+    void aRequestIsForwardedUnchangedAndOnlyOnce() throws Exception {
+        start(firstServer);
+        String response = roundTrip(Fixture.request("POST", "/photo/7?size=2", 1, "Idempotency-Key: abc\r\n"
                 + "Cookie: key=9\r\nConnection: keep-alive\r\n", "pixels"));
-        assertEquals(200, status(answer));
-        assertTrue(answer.endsWith("\r\n\r\ndone"), answer);
-        String sent = first.nextRequest();
+        assertEquals(200, status(response));
+        assertTrue(response.endsWith("\r\n\r\ndone"), response);
+        String sent = firstServer.nextRequest();
         assertTrue(sent.startsWith("POST /photo/7?size=2 HTTP/1.1\r\n"), sent);
         assertTrue(sent.endsWith("\r\n\r\npixels"), sent);
         assertEquals("abc", FakePeer.header(sent, "Idempotency-Key"));
         assertEquals("0000000000000001", FakePeer.header(sent, "X-Txn"));
         assertEquals("key=9", FakePeer.header(sent, "Cookie"));
-        int left = Integer.parseInt(FakePeer.header(sent, "X-Remaining-Ms"));
-        assertTrue(left > 0 && left <= Fixture.REMAINING_MS, "waits for " + left);
-        assertTrue(first.requests.isEmpty());
-        assertEquals(200, status(ask("GET /ready HTTP/1.1\r\n\r\n")));
+        int remainingMs = Integer.parseInt(FakePeer.header(sent, "X-Remaining-Ms"));
+        assertTrue(remainingMs > 0 && remainingMs <= Fixture.REMAINING_MS,
+                "X-Remaining-Ms is " + remainingMs);
+        assertTrue(firstServer.requests.isEmpty());
+        assertEquals(200, status(roundTrip("GET /ready HTTP/1.1\r\n\r\n")));
     }
 
     @Test
-    void aRehearsedRequestThatComesAfterTheRehearsalReachesNoServer() throws Exception {
-        start(first);
-        JsonObject json = Fixture.config(discovery, first);
+    void aWarmUpRequestAfterTheWarmUpReachesNoServer() throws Exception {
+        start(firstServer);
+        JsonObject json = Fixture.config(discovery, firstServer);
         String token = Long.toHexString(
                 new SplittableRandom(Long.parseUnsignedLong(json.get("seed").getAsString(), 16)).nextLong());
         String header = Rehearsal.HEADER + ": " + token + "\r\n";
-        assertTrue(ask(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
-        assertTrue(first.requests.isEmpty(), "sent on");
+        assertTrue(roundTrip(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
+        assertTrue(firstServer.requests.isEmpty(), "sent to a server");
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInOrder() throws Exception {
-        first.script((socket, request) -> {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+        firstServer.script((socket, request) -> {
             String path = request.split(" ")[1];
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + path.length() + "\r\n\r\n" + path);
         });
-        start(first);
+        start(firstServer);
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 40; i++) {
             all.append(Fixture.request("GET", "/view/" + i, i, "", ""));
         }
         FakePeer.write(client, all.toString());
         for (int i = 0; i < 40; i++) {
-            String answer = FakePeer.read(client);
-            assertTrue(answer.endsWith("\r\n\r\n/view/" + i), answer);
+            String response = FakePeer.read(client);
+            assertTrue(response.endsWith("\r\n\r\n/view/" + i), response);
         }
     }
 
     @Test
-    void aLongLineSentAheadIsAnsweredToItsEnd() throws Exception {
-        int most = 3_000;
-        first.script(FakePeer.SILENT);
-        start(first);
+    void thousandsOfPipelinedRequestsAreAllAnswered() throws Exception {
+        int requestCount = 3_000;
+        firstServer.script(FakePeer.SILENT);
+        start(firstServer);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", "")
-                + "GET /ready HTTP/1.1\r\n\r\n".repeat(most));
-        first.nextRequest();
-        FakePeer.write(FakePeer.soon(first.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+                + "GET /ready HTTP/1.1\r\n\r\n".repeat(requestCount));
+        firstServer.nextRequest();
+        FakePeer.write(FakePeer.soon(firstServer.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertEquals(200, status(FakePeer.read(client)));
-        for (int i = 0; i < most; i++) {
+        for (int i = 0; i < requestCount; i++) {
             assertEquals(200, status(FakePeer.read(client)));
         }
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsNeverSentAgainNorRefused() throws Exception {
-        first.script(FakePeer.RESET);
-        second.script(FakePeer.RESET);
-        start(first, second);
-        int status = status(ask(Fixture.request("POST", "/order", 1, "", "")));
+    void anUnsafeRequestThatMayHaveRunIsNeitherRetriedNorRefused() throws Exception {
+        firstServer.script(FakePeer.RESET);
+        secondServer.script(FakePeer.RESET);
+        start(firstServer, secondServer);
+        int status = status(roundTrip(Fixture.request("POST", "/order", 1, "", "")));
         assertTrue(status >= 500 && status != 503, "answered " + status);
-        // Answers come after all sends: what follows would be seen only later than this round trip.
-        assertEquals(200, status(ask("GET /ready HTTP/1.1\r\n\r\n")));
-        assertEquals(1, first.requests.size() + second.requests.size());
+        // A node sends a retry before it responds: after one more round trip the count is final.
+        assertEquals(200, status(roundTrip("GET /ready HTTP/1.1\r\n\r\n")));
+        assertEquals(1, firstServer.requests.size() + secondServer.requests.size());
     }
 
     @Test
-    void aSafeRequestPassesOnAfterAnError() throws Exception {
-        first.script(FakePeer.answer("500 No", "", ""));
-        start(first, second);
+    void aSafeRequestFailsOverAfterAServerError() throws Exception {
+        firstServer.script(FakePeer.answer("500 No", "", ""));
+        start(firstServer, secondServer);
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
         }
-        assertFalse(second.requests.isEmpty());
+        assertFalse(secondServer.requests.isEmpty());
     }
 
     @Test
-    void aRefusalComesAtOnceWithAdvice() throws Exception {
-        first.script(FakePeer.answer("503 Full", "X-Turned-Away: 1\r\n", ""));
-        start(first);
-        String answer = ask(Fixture.request("POST", "/order", 1, "", ""));
-        assertEquals(503, status(answer));
-        assertEquals("1", FakePeer.header(answer, "Retry-After"));
+    void aRefusalCarriesRetryAfter() throws Exception {
+        firstServer.script(FakePeer.answer("503 Full", "X-Turned-Away: 1\r\n", ""));
+        start(firstServer);
+        String response = roundTrip(Fixture.request("POST", "/order", 1, "", ""));
+        assertEquals(503, status(response));
+        assertEquals("1", FakePeer.header(response, "Retry-After"));
     }
 
     @Test
-    void silenceIsAnsweredWithinTheClientsTimeAndItsConnectionEnded() throws Exception {
-        first.script(FakePeer.SILENT);
-        start(first);
-        long from = System.nanoTime();
-        int status = status(ask(Fixture.request("POST", "/slow", 1, "", "")
+    void aSilentServersRequestFailsAtTheDeadlineAndItsConnectionIsClosed() throws Exception {
+        firstServer.script(FakePeer.SILENT);
+        start(firstServer);
+        long startNs = System.nanoTime();
+        int status = status(roundTrip(Fixture.request("POST", "/slow", 1, "", "")
                 .replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 700")));
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         assertTrue(status >= 500 && status != 503, "answered " + status);
-        assertTrue(tookMs >= 600, "given up after " + tookMs + " ms");
-        FakePeer.soon(first.ended);
-        assertEquals(1, first.requests.size());
+        assertTrue(tookMs >= 600, "failed after only " + tookMs + " ms");
+        FakePeer.soon(firstServer.ended);
+        assertEquals(1, firstServer.requests.size());
     }
 
     @Test
-    void aClientThatLeavesEndsItsAttempt() throws Exception {
-        first.script(FakePeer.SILENT);
-        start(first);
+    void aClientsDisconnectAbortsItsAttempt() throws Exception {
+        firstServer.script(FakePeer.SILENT);
+        start(firstServer);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
-        first.nextRequest();
+        firstServer.nextRequest();
         client.close();
-        FakePeer.soon(first.ended);
-        assertTrue(first.requests.isEmpty(), "sent again for nobody");
+        FakePeer.soon(firstServer.ended);
+        assertTrue(firstServer.requests.isEmpty(), "retried for a disconnected client");
     }
 
-    /** A half-close looks like a close from here, and the protocol knows no client that does only that. */
+    /** The node can't tell a half-close from a close, and no client of the protocol half-closes. */
     @Test
-    void aClientThatEndsItsSendingHasLeft() throws Exception {
-        first.script(FakePeer.SILENT);
-        start(first);
+    void aHalfClosedClientCountsAsDisconnected() throws Exception {
+        firstServer.script(FakePeer.SILENT);
+        start(firstServer);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
-        first.nextRequest();
+        firstServer.nextRequest();
         client.shutdownOutput();
-        FakePeer.soon(first.ended);
-        assertNull(FakePeer.read(client), "answered");
-        assertTrue(first.requests.isEmpty(), "sent again");
+        FakePeer.soon(firstServer.ended);
+        assertNull(FakePeer.read(client), "response to a disconnected client");
+        assertTrue(firstServer.requests.isEmpty(), "retried for a disconnected client");
     }
 
     @Test
-    void aServerThatClosesAnIdleConnectionCostsNoRequest() throws Exception {
-        start(first);
+    void aServerThatClosesAnIdleConnectionFailsNoRequest() throws Exception {
+        start(firstServer);
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, status(ask(Fixture.request("POST", "/order", i, "", ""))));
-            FakePeer.soon(first.accepted).close();
-            FakePeer.soon(first.ended);
+            assertEquals(200, status(roundTrip(Fixture.request("POST", "/order", i, "", ""))));
+            FakePeer.soon(firstServer.accepted).close();
+            FakePeer.soon(firstServer.ended);
         }
-        assertEquals(5, first.requests.size());
+        assertEquals(5, firstServer.requests.size());
     }
 
     @Test
-    void aServerThatDrainsGetsNothingNew() throws Exception {
-        start(first, second);
-        String call = discovery.nextRequest();
-        assertTrue(call.startsWith("GET /v1/endpoints?watch=1&after=41 "), call);
+    void aDrainingServerGetsNoNewRequests() throws Exception {
+        start(firstServer, secondServer);
+        String watchRequest = discovery.nextRequest();
+        assertTrue(watchRequest.startsWith("GET /v1/endpoints?watch=1&after=41 "), watchRequest);
         Socket watch = FakePeer.soon(discovery.accepted);
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 0, "", ""))));
+        assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", 0, "", ""))));
         Fixture.beginWatch(watch);
-        Fixture.line(watch, Fixture.list(42, false, "Terminating", first));
-        // Its idle connections go back as soon as it has gone: the sign that the node has read the line.
-        Fixture.line(watch, Fixture.list(43, false, "Ready", second));
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
-        int quiet = 0;
-        for (int i = 1; quiet < 20; i++) {
-            int before = first.requests.size();
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
-            quiet = first.requests.size() == before ? quiet + 1 : 0;
-            assertTrue(System.nanoTime() < until, "the draining server is still sent to");
+        Fixture.line(watch, Fixture.list(42, false, "Terminating", firstServer));
+        Fixture.line(watch, Fixture.list(43, false, "Ready", secondServer));
+        // Twenty requests in a row that go elsewhere show that the node has applied the update.
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        int consecutiveElsewhere = 0;
+        for (int i = 1; consecutiveElsewhere < 20; i++) {
+            int before = firstServer.requests.size();
+            assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
+            consecutiveElsewhere = firstServer.requests.size() == before ? consecutiveElsewhere + 1 : 0;
+            assertTrue(System.nanoTime() < deadlineNs, "the draining server still gets requests");
         }
-        // Broken, the watch is asked for again with the version that was told last.
+        // After the watch breaks, it is opened again from the last revision received.
         watch.close();
         assertTrue(discovery.nextRequest().contains("after=43 "));
     }
 
     @Test
-    void aListThatHasToBeAskedForIsWaitedForAndOneThatIsPushedIsNot() throws Exception {
-        start(first);
+    void anUnansweredWatchIsRepeatedEarlyOnlyInPushedMode() throws Exception {
+        start(firstServer);
         discovery.nextRequest();
-        // A second is nothing for a call that discovery has to work for.
-        assertNull(discovery.requests.poll(1, TimeUnit.SECONDS), "asked again");
-        try (FakePeer agent = new FakePeer(FakePeer.SILENT)) {
-            JsonObject json = Fixture.config(agent, first);
+        // Discovery may take more than a second for such a call, so it must not be repeated within that time.
+        assertNull(discovery.requests.poll(1, TimeUnit.SECONDS), "watch opened again");
+        try (FakePeer pushingDiscovery = new FakePeer(FakePeer.SILENT)) {
+            JsonObject json = Fixture.config(pushingDiscovery, firstServer);
             json.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
             start(json);
             for (int i = 0; i < 3; i++) {
-                agent.nextRequest();
+                pushingDiscovery.nextRequest();
             }
         }
     }
 
     @Test
-    void badInputIsAnswered4xxAndNeverSentOn() throws Exception {
-        int port = start(Fixture.config(discovery, first));
+    void badInputIsAnswered4xxAndNeverForwarded() throws Exception {
+        int port = start(Fixture.config(discovery, firstServer));
         String good = Fixture.request("GET", "/view", 1, "", "");
         List<Map.Entry<Integer, String>> cases = new ArrayList<>(List.of(
                 Map.entry(404, good.replace("/view", "/nothing")),
@@ -309,54 +311,56 @@
                 Map.entry(431, good.replace("\r\n\r\n", "\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n"))));
         for (Map.Entry<Integer, String> bad : cases) {
             client = connect(port);
-            String answer = ask(bad.getValue());
+            String response = roundTrip(bad.getValue());
             String shown = bad.getValue().substring(0, Math.min(200, bad.getValue().length()));
-            assertEquals(bad.getKey(), status(answer), shown);
-            assertFalse(answer.substring(answer.indexOf("\r\n\r\n")).isBlank(), "no reason given: " + shown);
+            assertEquals(bad.getKey(), status(response), shown);
+            assertFalse(response.substring(response.indexOf("\r\n\r\n")).isBlank(),
+                    "no reason given: " + shown);
             client.close();
         }
         client = connect(port);
-        assertEquals(200, status(ask(good)));
-        assertEquals(1, first.requests.size());
+        assertEquals(200, status(roundTrip(good)));
+        assertEquals(1, firstServer.requests.size());
     }
 
-    /** An order with these headers for its length. */
+    /** A request of the class "order" with the given headers for the length of its body. */
     private static String order(String lengths, String body) {
         return Fixture.request("POST", "/order", 1, "", "").replace("Content-Length: 0\r\n", lengths) + body;
     }
 
     @Test
-    void aRequestHiddenInABodyOfTwoLengthsIsNotTaken() throws Exception {
-        start(first);
+    void aRequestSmuggledByConflictingLengthsIsRejected() throws Exception {
+        start(firstServer);
         String hidden = Fixture.request("POST", "/order", 2, "", "");
-        String answer = ask(order("Content-Length: " + (5 + hidden.length())
+        String response = roundTrip(order("Content-Length: " + (5 + hidden.length())
                 + "\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden));
-        assertEquals(400, status(answer));
-        assertEquals("close", FakePeer.header(answer, "Connection"));
-        assertNull(FakePeer.read(client), "the connection goes on");
-        assertTrue(first.requests.isEmpty());
+        assertEquals(400, status(response));
+        assertEquals("close", FakePeer.header(response, "Connection"));
+        assertNull(FakePeer.read(client), "the connection is still open");
+        assertTrue(firstServer.requests.isEmpty());
     }
 
     @Test
-    void aClientThatSendsBadRequestsAgainAndAgainIsClosed() throws Exception {
-        start(first);
+    void repeatedBadRequestsCloseTheConnection() throws Exception {
+        start(firstServer);
         String bad = Fixture.request("GET", "/nothing", 1, "", "");
-        int answers = 0;
-        for (String answer = ask(bad); answer != null && answers < 100; answer = ask(bad)) {
-            assertEquals(404, status(answer));
-            answers++;
-            if ("close".equals(FakePeer.header(answer, "Connection"))) {
+        int responses = 0;
+        for (String response = roundTrip(bad); response != null && responses < 100;
+                response = roundTrip(bad)) {
+            assertEquals(404, status(response));
+            responses++;
+            if ("close".equals(FakePeer.header(response, "Connection"))) {
                 assertNull(FakePeer.read(client));
-                assertTrue(answers > 1, "closed for one mistake");
+                assertTrue(responses > 1, "closed after one bad request");
                 return;
             }
         }
-        throw new AssertionError("never closed");
+        throw new AssertionError("connection not closed after 100 bad requests");
     }
 
     @Test
-    void whoSaysNothingOrHalfARequestIsNotWaitedForLong() throws Exception {
-        int port = start(Fixture.config(discovery, first));
+    void aConnectionWithoutACompleteRequestTimesOut() throws Exception {
+        int port = start(Fixture.config(discovery, firstServer));
         try (Socket silent = connect(port); Socket half = connect(port)) {
             client = connect(port);
             FakePeer.write(half, "GET /view HTTP/1.1\r\nX-Txn: ");
@@ -368,12 +372,12 @@
     }
 
     @Test
-    void roomIsMadeByThoseThatNeverAskedAndNotByARequestThatIsComing() throws Exception {
-        JsonObject json = Fixture.config(discovery, first);
+    void unusedConnectionsAreClosedBeforeOneWithAPartialRequest() throws Exception {
+        JsonObject json = Fixture.config(discovery, firstServer);
         json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 8);
         int port = start(json);
         client = connect(port);
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
+        assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", 1, "", ""))));
         String request = Fixture.request("GET", "/view", 2, "", "");
         FakePeer.write(client, request.substring(0, 30));
         List<Socket> silent = new ArrayList<>();
@@ -389,111 +393,112 @@
     }
 
     @Test
-    void newConnectionsAcceptedTogetherDoNotPushOneAnotherOut() throws Exception {
-        JsonObject json = Fixture.config(discovery, first);
+    void newConnectionsAcceptedTogetherDoNotEvictOneAnother() throws Exception {
+        JsonObject json = Fixture.config(discovery, firstServer);
         json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 8);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             client = connect(port);
             all.add(client);
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
         }
-        CountDownLatch sent = new CountDownLatch(1);
+        // Blocks the event loop, so that it accepts the next four connections in one iteration.
+        CountDownLatch requestsSent = new CountDownLatch(1);
         group.next().execute(() -> {
             try {
-                sent.await();
+                requestsSent.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        List<Socket> fresh = new ArrayList<>();
+        List<Socket> newSockets = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             Socket socket = connect(port);
-            fresh.add(socket);
+            newSockets.add(socket);
             FakePeer.write(socket, Fixture.request("GET", "/view", 10 + i, "", ""));
         }
-        sent.countDown();
-        for (Socket socket : fresh) {
+        requestsSent.countDown();
+        for (Socket socket : newSockets) {
             assertEquals(200, status(FakePeer.read(socket)));
         }
-        all.addAll(fresh);
+        all.addAll(newSockets);
         for (Socket socket : all) {
             socket.close();
         }
     }
 
     @Test
-    void whoAsksOnceAndStaysIsClosedOnceConnectionsAreMany() throws Exception {
-        JsonObject json = Fixture.config(discovery, first);
+    void anIdleConnectionIsClosedWhenManyAreOpen() throws Exception {
+        JsonObject json = Fixture.config(discovery, firstServer);
         json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 80);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
-        // A sixth of 144 is 24: one of these is too many, and all have room.
+        // More than 144 / 6 = 24 connections count as many; 25 still fit under the limit.
         for (int i = 0; i < 25; i++) {
             client = connect(port);
             all.add(client);
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
         }
-        assertNull(FakePeer.read(all.get(0)), "the oldest is kept");
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 99, "", ""))));
+        assertNull(FakePeer.read(all.get(0)), "the oldest idle connection is still open");
+        assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", 99, "", ""))));
         for (Socket socket : all) {
             socket.close();
         }
     }
 
     @Test
-    void inACrowdAConnectionEndsWithItsAnswer() throws Exception {
-        JsonObject json = Fixture.config(discovery, first);
+    void keepAliveEndsWhenThereAreTooManyConnections() throws Exception {
+        JsonObject json = Fixture.config(discovery, firstServer);
         json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 56);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
-        // A quarter of 120 is 30.
+        // Keep-alive ends above 120 / 4 = 30 connections.
         for (int i = 0; i < 31; i++) {
             all.add(connect(port));
         }
         client = connect(port);
-        String answer = ask(Fixture.request("GET", "/view", 1, "", ""));
-        assertEquals(200, status(answer));
-        assertEquals("close", FakePeer.header(answer, "Connection"));
+        String response = roundTrip(Fixture.request("GET", "/view", 1, "", ""));
+        assertEquals(200, status(response));
+        assertEquals("close", FakePeer.header(response, "Connection"));
         for (Socket socket : all) {
             socket.close();
         }
     }
 
     @Test
-    void anIdInHandIsNotTakenTwice() throws Exception {
-        first.script(FakePeer.SILENT);
-        int port = start(Fixture.config(discovery, first));
+    void theIdOfAPendingRequestIsRejected() throws Exception {
+        firstServer.script(FakePeer.SILENT);
+        int port = start(Fixture.config(discovery, firstServer));
         try (Socket other = connect(port)) {
             FakePeer.write(other, Fixture.request("POST", "/order", 1, "", ""));
-            first.nextRequest();
+            firstServer.nextRequest();
             client = connect(port);
-            assertEquals(409, status(ask(Fixture.request("POST", "/order", 1, "", ""))));
+            assertEquals(409, status(roundTrip(Fixture.request("POST", "/order", 1, "", ""))));
         }
-        assertTrue(first.requests.isEmpty());
+        assertTrue(firstServer.requests.isEmpty());
     }
 
     @Test
-    void anIdWhoseRequestIsOverIsNotSentOnAgain() throws Exception {
-        start(first);
-        assertEquals(200, status(ask(Fixture.request("POST", "/order", 1, "", ""))));
-        // Another client's copy of it that the answer crossed.
-        assertEquals(409, status(ask(Fixture.request("POST", "/order", 1, "", ""))));
-        assertEquals(200, status(ask(Fixture.request("POST", "/order", 2, "", ""))));
-        assertEquals(2, first.requests.size());
+    void theIdOfACompletedRequestIsRejected() throws Exception {
+        start(firstServer);
+        assertEquals(200, status(roundTrip(Fixture.request("POST", "/order", 1, "", ""))));
+        // Stands for another client's copy of the request that arrives just after the response.
+        assertEquals(409, status(roundTrip(Fixture.request("POST", "/order", 1, "", ""))));
+        assertEquals(200, status(roundTrip(Fixture.request("POST", "/order", 2, "", ""))));
+        assertEquals(2, firstServer.requests.size());
     }
 
     @Test
-    void idleConnectionsMakeRoomUnderTheLimitOfSockets() throws Exception {
-        JsonObject json = Fixture.config(discovery, first);
+    void idleConnectionsAreClosedAtTheSocketLimit() throws Exception {
+        JsonObject json = Fixture.config(discovery, firstServer);
         json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 8);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             client = connect(port);
             all.add(client);
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
         }
         assertNull(FakePeer.read(all.get(0)), "the oldest idle connection is still open");
         for (Socket socket : all) {
@@ -502,25 +507,26 @@
     }
 
     @Test
-    void nothingGoesByTheKnownListBeforeDiscoveryHasAnswered() throws Exception {
+    void nothingIsSentByTheKnownListBeforeDiscoveryResponds() throws Exception {
         CountDownLatch ready = new CountDownLatch(1);
-        int port = start(Fixture.config(discovery, first), TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S),
-                ready);
+        int port = start(Fixture.config(discovery, firstServer),
+                TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S), ready);
         client = connect(port);
         FakePeer.write(client, Fixture.request("POST", "/order", 1, "", "x"));
         assertTrue(discovery.nextRequest().contains("&after=41 "));
         Socket watch = FakePeer.soon(discovery.accepted);
-        try (Socket probe = connect(port)) {
-            FakePeer.write(probe, "GET /ready HTTP/1.1\r\n\r\n");
-            assertEquals(503, status(FakePeer.read(probe)), "ready with a list that may be old");
+        try (Socket readinessClient = connect(port)) {
+            FakePeer.write(readinessClient, "GET /ready HTTP/1.1\r\n\r\n");
+            assertEquals(503, status(FakePeer.read(readinessClient)),
+                    "ready before the list is confirmed current");
         }
         Fixture.beginWatch(watch);
-        Fixture.line(watch, Fixture.list(42, false, "Terminating", first));
-        Fixture.line(watch, Fixture.list(43, false, "Ready", second));
+        Fixture.line(watch, Fixture.list(42, false, "Terminating", firstServer));
+        Fixture.line(watch, Fixture.list(43, false, "Ready", secondServer));
         assertEquals(200, status(FakePeer.read(client)));
-        second.nextRequest();
-        assertTrue(first.requests.isEmpty(), "sent to a server that drained before the start");
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
-        assertTrue(discovery.requests.isEmpty(), "asked for the list twice");
+        secondServer.nextRequest();
+        assertTrue(firstServer.requests.isEmpty(), "sent to a server that drained before the start");
+        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "node did not become ready");
+        assertTrue(discovery.requests.isEmpty(), "watch opened twice");
     }
 }
