--- a/src/main/java/cedarrelay/node/ClientConnection.java
+++ b/src/main/java/cedarrelay/node/ClientConnection.java
@@ -416,7 +416,7 @@
         }
     }
 
-    /** Once further input is discarded, skips its decoding, and beyond a limit stops reading it. */
+    /** Counts the input; once it is to be discarded, skips its decoding, and beyond a limit stops reading. */
     private final class InputDiscarder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
