--- a/src/main/java/cedarrelay/node/Config.java
+++ b/src/main/java/cedarrelay/node/Config.java
@@ -19,21 +19,31 @@
 import com.google.gson.JsonParser;
 
 /**
- * What a node is told at its start, checked.
+ * The validated configuration of a node: a JSON file, some of whose values environment variables override.
  *
- * @param sockets descriptors that the process may hold
- * @param connIdleUs servers close connections that have stood idle for so long
+ * @param listen address on which the node accepts clients
+ * @param discovery address of the discovery agent
+ * @param seed seed of the node's random choices
+ * @param sockets maximum number of file descriptors that the process may hold
+ * @param connIdleUs idle time in microseconds after which servers close a connection
+ * @param settings settings of the balancer
+ * @param known server list to start with; empty with revision 0 if the file has none
  */
 record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
         long connIdleUs, Settings settings, ServerList known) {
 
     private static final int DEFAULT_SOCKETS = 1_024;
-    /** Under this nothing is left for one client and one server. */
-    private static final int LEAST_SOCKETS = Sockets.RESERVE + 2;
-    private static final String DISCOVERY = "LB_DISCOVERY";
-    private static final String DEFAULT_IDLE_US = "15000000";
+    /** The reserve, one client and one server. */
+    private static final int MIN_SOCKETS = Sockets.RESERVE + 2;
+    private static final String DISCOVERY_VARIABLE = "LB_DISCOVERY";
+    private static final String DEFAULT_CONN_IDLE_US = "15000000";
 
-    /** Throws IllegalArgumentException with one line for the operator on what is missing or wrong. */
+    /**
+     * Reads the file that {@code LB_CONFIG} names. {@code LB_LISTEN} and {@code LB_DISCOVERY} override the
+     * file's values.
+     *
+     * @throws IllegalArgumentException if something is missing or wrong, with one line for the operator
+     */
     static Config read(Map<String, String> environment) {
         String path = environment.get("LB_CONFIG");
         if (path == null || path.isEmpty()) {
@@ -43,62 +53,78 @@
         try {
             text = Files.readString(Path.of(path));
         } catch (IOException | InvalidPathException e) {
-            throw new IllegalArgumentException("LB_CONFIG can't be read: " + e, e);
+            throw new IllegalArgumentException("cannot read the file that LB_CONFIG names: " + e, e);
         }
         return parse(text, environment);
     }
 
-    /** As at the start, but that the file has been replaced since and so comes before the environment. */
+    /**
+     * Reads the file again for a reload. Unlike at the start, the file's discovery address overrides
+     * {@code LB_DISCOVERY}: the file has been replaced since the environment was set.
+     *
+     * @throws IllegalArgumentException as {@link #read}
+     */
     static Config reread(Map<String, String> environment) {
-        Map<String, String> rest = new HashMap<>(environment);
-        rest.remove(DISCOVERY);
-        return read(rest);
+        Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove(DISCOVERY_VARIABLE);
+        return read(withoutDiscovery);
     }
 
     /**
-     * The same with no more descriptors than the system gives. A system's figure that leaves the node no
-     * socket to serve with bounds its files alone: where sockets are handed out by other means, the
-     * configuration tells how many. Should they run out all the same, each refusal is handled as it comes.
+     * Returns this configuration with {@code sockets} lowered to the system's limit of open files. A limit
+     * too low for serving a single client is ignored: on such systems it bounds only files and not sockets,
+     * so the configured number applies. If descriptors run out anyway, each failure is handled as it occurs.
+     *
+     * @param descriptors the system's limit
      */
     Config within(int descriptors) {
         return new Config(listen, discovery, seed,
-                descriptors < LEAST_SOCKETS ? sockets : Math.min(sockets, descriptors), connIdleUs, settings,
+                descriptors < MIN_SOCKETS ? sockets : Math.min(sockets, descriptors), connIdleUs, settings,
                 known);
     }
 
+    /**
+     * Parses the text of a configuration file. A non-empty environment variable overrides the file's value.
+     *
+     * @throws IllegalArgumentException if something is missing or wrong, with one line for the operator
+     */
     static Config parse(String text, Map<String, String> environment) {
         JsonObject json;
         try {
             json = JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new IllegalArgumentException("LB_CONFIG holds no JSON object: " + e.getMessage(), e);
+            throw new IllegalArgumentException("the file that LB_CONFIG names is not a JSON object: "
+                    + e.getMessage(), e);
         }
-        Map<String, String> values = flatten(object(json, "settings"));
+        Map<String, String> values = flatten(requireObject(json, "settings"));
         Settings settings = BootInfo.read(values);
         ServerList known = json.has("known") ? ServerList.of(json.get("known"))
                 : new ServerList(0, true, List.of());
-        return new Config(ServerList.address(text(environment, "LB_LISTEN", json, "listen")),
-                ServerList.address(text(environment, DISCOVERY, json, "discovery")), seed(json),
-                sockets(json), whole(values.getOrDefault("limits.connIdleUs", DEFAULT_IDLE_US)), settings,
-                known);
+        return new Config(ServerList.address(requireText(environment, "LB_LISTEN", json, "listen")),
+                ServerList.address(requireText(environment, DISCOVERY_VARIABLE, json, "discovery")),
+                seed(json),
+                sockets(json),
+                parseWhole(values.getOrDefault("limits.connIdleUs", DEFAULT_CONN_IDLE_US)),
+                settings, known);
     }
 
-    private static JsonObject object(JsonObject in, String name) {
-        JsonElement value = in.get(name);
+    private static JsonObject requireObject(JsonObject parent, String name) {
+        JsonElement value = parent.get(name);
         if (value == null || !value.isJsonObject()) {
-            throw new IllegalArgumentException(name + " is missing or no object");
+            throw new IllegalArgumentException(name + " is missing or is not a JSON object");
         }
         return value.getAsJsonObject();
     }
 
-    private static String text(Map<String, String> environment, String variable, JsonObject json,
+    private static String requireText(Map<String, String> environment, String variable, JsonObject json,
             String name) {
         String value = environment.get(variable);
         if (value != null && !value.isEmpty()) {
             return value;
         }
         if (!json.has(name) || !json.get(name).isJsonPrimitive()) {
-            throw new IllegalArgumentException(variable + " is not set, nor " + name);
+            throw new IllegalArgumentException(variable + " is not set and the configuration has no "
+                    + name);
         }
         return json.get(name).getAsString();
     }
@@ -116,40 +142,45 @@
     }
 
     private static int sockets(JsonObject json) {
-        JsonElement sockets = json.has("limits") ? object(json, "limits").get("sockets") : null;
+        JsonElement sockets = json.has("limits") ? requireObject(json, "limits").get("sockets") : null;
         long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_SOCKETS
-                : whole(sockets.getAsString());
-        if (value < LEAST_SOCKETS) {
-            throw new IllegalArgumentException("limits.sockets is under " + LEAST_SOCKETS);
+                : parseWhole(sockets.getAsString());
+        if (value < MIN_SOCKETS) {
+            throw new IllegalArgumentException("limits.sockets is less than " + MIN_SOCKETS);
         }
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
 
-    private static long whole(String text) {
+    private static long parseWhole(String text) {
         try {
             return (long) Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("not a number: " + text, e);
+            throw new IllegalArgumentException("limits.sockets or limits.connIdleUs is not a number: " + text,
+                    e);
         }
     }
 
-    /** The wire's path=value form of the settings, which the adapter reads too. */
+    /**
+     * Converts settings from JSON to the path=value pairs that {@link BootInfo} reads, as a simulator sends
+     * them: an array of objects becomes {@code path.count} and {@code path.0}, {@code path.1} and so on, any
+     * other array a comma-separated value. Null values are left out.
+     */
     static Map<String, String> flatten(JsonObject settings) {
         Map<String, String> values = new TreeMap<>();
-        settings.entrySet().forEach(e -> flatten(e.getKey(), e.getValue(), values));
+        settings.entrySet().forEach(entry -> flatten(entry.getKey(), entry.getValue(), values));
         return values;
     }
 
-    private static void flatten(String path, JsonElement value, Map<String, String> to) {
+    private static void flatten(String path, JsonElement value, Map<String, String> values) {
         if (value.isJsonObject()) {
             value.getAsJsonObject().entrySet()
-                    .forEach(e -> flatten(path + "." + e.getKey(), e.getValue(), to));
+                    .forEach(entry -> flatten(path + "." + entry.getKey(), entry.getValue(), values));
         } else if (value.isJsonArray()) {
             JsonArray items = value.getAsJsonArray();
             if (!items.isEmpty() && items.get(0).isJsonObject()) {
-                to.put(path + ".count", Integer.toString(items.size()));
+                values.put(path + ".count", Integer.toString(items.size()));
                 for (int i = 0; i < items.size(); i++) {
-                    flatten(path + "." + i, items.get(i), to);
+                    flatten(path + "." + i, items.get(i), values);
                 }
             } else {
                 StringBuilder joined = new StringBuilder();
@@ -157,10 +188,10 @@
                     joined.append(joined.isEmpty() ? "" : ",")
                             .append(item.isJsonNull() ? "" : item.getAsString());
                 }
-                to.put(path, joined.toString());
+                values.put(path, joined.toString());
             }
         } else if (!value.isJsonNull()) {
-            to.put(path, value.getAsString());
+            values.put(path, value.getAsString());
         }
     }
 }
--- a/src/main/java/cedarrelay/node/Descriptors.java
+++ b/src/main/java/cedarrelay/node/Descriptors.java
@@ -5,27 +5,27 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** What the system lets this process open, which may be less than the configuration promises. */
+/** Reads how many files and sockets the system lets this process open, which may be fewer than configured. */
 final class Descriptors {
-    private static final Path LIMITS = Path.of("/proc/self/limits");
-    private static final String NAME = "Max open files";
+    private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
+    private static final String OPEN_FILES_ROW = "Max open files";
 
     private Descriptors() { }
 
-    /** The limit that holds now; the largest number where the system doesn't tell. */
+    /** Returns the soft limit of open files; {@link Integer#MAX_VALUE} if it is unlimited or unknown. */
     static int limit() {
-        try (Stream<String> lines = Files.lines(LIMITS)) {
+        try (Stream<String> lines = Files.lines(LIMITS_FILE)) {
             return limit(lines);
         } catch (IOException e) {
-            // No such file on this system: the configuration has to be believed.
+            // Not a Linux system, or /proc is not readable: only the configured limit applies.
             return Integer.MAX_VALUE;
         }
     }
 
-    /** Of the lines of a table whose columns are name, limit that holds, limit that can be set, unit. */
+    /** Reads the limit from a table whose columns are name, soft limit, hard limit and unit. */
     static int limit(Stream<String> lines) {
-        return lines.filter(line -> line.startsWith(NAME))
-                .map(line -> line.substring(NAME.length()).trim().split(" +")[0])
+        return lines.filter(line -> line.startsWith(OPEN_FILES_ROW))
+                .map(line -> line.substring(OPEN_FILES_ROW.length()).trim().split(" +")[0])
                 .filter(value -> value.matches("\\d{1,9}")).mapToInt(Integer::parseInt)
                 .findFirst().orElse(Integer.MAX_VALUE);
     }
--- a/src/main/java/cedarrelay/node/Hangup.java
+++ b/src/main/java/cedarrelay/node/Hangup.java
@@ -4,15 +4,22 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The word to read the configuration again: SIGHUP. Java has no public way to hear of a signal, and naming
- * the one it has in all builds brings a warning that can't be turned off; so it is looked up by name.
+ * Handles SIGHUP, the signal to reload the configuration. Java has no public API for signals, and a direct
+ * use of {@code sun.misc.Signal} causes a compiler warning that cannot be suppressed; so it is used by
+ * reflection.
  */
 final class Hangup {
     private Hangup() { }
 
-    /** Runs the action, on a thread of its own, at each SIGHUP, which no longer ends the program. */
+    /**
+     * Runs the action on each SIGHUP, on a thread of its own. From this call on, the signal no longer ends
+     * the process.
+     *
+     * @throws IllegalStateException if the runtime has no {@code sun.misc.Signal} or does not allow the
+     * handler
+     */
     static void handle(Runnable action) {
-        InvocationHandler handler = (proxy, method, args) -> switch (method.getName()) {
+        InvocationHandler invocationHandler = (proxy, method, args) -> switch (method.getName()) {
             case "handle" -> {
                 action.run();
                 yield null;
@@ -22,13 +29,14 @@
             default -> "Hangup";
         };
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> receiver = Class.forName("sun.misc.SignalHandler");
-            signal.getMethod("handle", signal, receiver).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"),
-                    Proxy.newProxyInstance(receiver.getClassLoader(), new Class<?>[] {receiver}, handler));
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            signalType.getMethod("handle", signalType, handlerType).invoke(null,
+                    signalType.getConstructor(String.class).newInstance("HUP"),
+                    Proxy.newProxyInstance(handlerType.getClassLoader(), new Class<?>[] {handlerType},
+                            invocationHandler));
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            throw new IllegalStateException("SIGHUP can't be handled", e);
+            throw new IllegalStateException("cannot install the SIGHUP handler", e);
         }
     }
 }
--- a/src/main/java/cedarrelay/node/Main.java
+++ b/src/main/java/cedarrelay/node/Main.java
@@ -10,18 +10,22 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 
-/** Starts one node, and ends it in order when told to. */
+/** The entry point of a node process: starts one node and stops it gracefully on SIGTERM. */
 public final class Main {
     private static final Logger LOG = System.getLogger(Main.class.getName());
 
-    /** A bad configuration. */
-    private static final int BAD_CONFIG = 2;
-    /** Enough for all classes to be loaded; more make the first answers quicker but the node come later. */
-    private static final int REHEARSED = 100;
-    /** Discovery's agent on the same machine answers at once. One that is silent for as long as a rehearsal
-     * may take has lost touch: then a list that may be old is worth more than a node that stays away. */
-    private static final long START_MS = 1_500;
-    private static final String EXAMPLE = """
+    /** Exit code of a process that was started with an unusable configuration. */
+    private static final int BAD_CONFIG_EXIT_CODE = 2;
+    /** Requests of the warm-up: enough to load all classes. More would speed up the first responses but delay
+     * the start. */
+    private static final int WARM_UP_REQUESTS = 100;
+    /** How long a start waits for discovery before the node serves with the server list of its configuration.
+     * The discovery agent runs on the same machine and normally responds at once; one that stays silent for
+     * as long as the warm-up may take has lost its connection, and serving by a possibly outdated list is
+     * better than not serving. */
+    private static final long DISCOVERY_WAIT_MS = 1_500;
+    /** Sample configuration for a process that only runs the warm-up. */
+    private static final String WARM_UP_CONFIG = """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1024},
              "known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","az":"a",
               "pod_group":1,"state":"Ready","capacity_hint":1.0,"boot_ms":0}]},
@@ -32,75 +36,85 @@
     private Main() { }
 
     /**
-     * Reads the configuration from the environment and serves until SIGTERM; SIGHUP has it read the file
-     * again. With the argument
-     * {@code rehearse} it goes through its work once on its own, for the archive of classes that the build
-     * makes, and ends.
+     * Reads the configuration that the environment names and serves until SIGTERM. SIGHUP reloads the
+     * configuration file. An unusable configuration ends the process with one line on standard error and exit
+     * code 2, a listening socket that cannot be opened with exit code 1.
+     *
+     * <p>With the argument {@code rehearse}, the process only runs the warm-up and exits: the build does so
+     * to record the loaded classes for the class data sharing archive.
      */
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("rehearse")) {
-            rehearse();
+            warmUp();
             return;
         }
         Map<String, String> environment = System.getenv();
         try {
             Logging.setUp(environment);
         } catch (IllegalArgumentException e) {
-            exit("bad configuration: " + e.getMessage(), BAD_CONFIG);
+            exit("bad configuration: " + e.getMessage(), BAD_CONFIG_EXIT_CODE);
         }
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, PunctualIo.newFactory());
         EventLoop loop = group.next();
-        Node[] node = new Node[1];
-        // First of all: unhandled, the signal ends the program. The loop reads the file after the start.
-        Hangup.handle(() -> loop.execute(() -> reload(node[0], environment)));
-        loop.execute(() -> node[0] = start(environment, group, loop));
+        Node[] startedNode = new Node[1];
+        // Before anything else, as an unhandled SIGHUP ends the process. The event loop runs tasks in order,
+        // so a reload requested now runs after the node has started.
+        Hangup.handle(() -> loop.execute(() -> reload(startedNode[0], environment)));
+        loop.execute(() -> startedNode[0] = start(environment, group, loop));
     }
 
+    /** Runs on the event loop. Returns null, after ending the process, if the configuration is unusable. */
     private static Node start(Map<String, String> environment, EventLoopGroup group, EventLoop loop) {
         Node node;
         try {
             node = new Node(Config.read(environment).within(Descriptors.limit()), loop);
         } catch (IllegalArgumentException e) {
-            exit("bad configuration: " + e.getMessage(), BAD_CONFIG);
+            exit("bad configuration: " + e.getMessage(), BAD_CONFIG_EXIT_CODE);
             return null;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, loop), "stop"));
-        node.start(group, REHEARSED, START_MS, () -> { }).addListener(done -> {
-            if (!done.isSuccess()) {
-                exit("can't listen: " + done.cause().getMessage(), 1);
+        node.start(group, WARM_UP_REQUESTS, DISCOVERY_WAIT_MS, () -> { }).addListener(bound -> {
+            if (!bound.isSuccess()) {
+                exit("cannot open the listening socket: " + bound.cause().getMessage(), 1);
             }
         });
         return node;
     }
 
-    /** What can't be used changes nothing: a node that serves is worth more than a configuration. */
+    /** Reloads the configuration file. An unusable file is logged and ignored: the node keeps serving. */
     private static void reload(Node node, Map<String, String> environment) {
         try {
             node.reload(Config.reread(environment));
         } catch (RuntimeException e) {
-            LOG.log(Level.WARNING, "the configuration stays as it was: {0}", e.getMessage());
+            LOG.log(Level.WARNING, "configuration not reloaded, the previous one stays in use: {0}",
+                    e.getMessage());
         }
     }
 
-    private static void rehearse() {
+    /** Runs the warm-up on a node with a sample configuration, then lets the process end. */
+    private static void warmUp() {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, PunctualIo.newFactory());
         Hangup.handle(() -> { });
-        Node node = new Node(Config.parse(EXAMPLE, Map.of()), group.next());
-        group.next().execute(() -> node.start(group, REHEARSED, START_MS, group::shutdownGracefully));
+        Node node = new Node(Config.parse(WARM_UP_CONFIG, Map.of()), group.next());
+        group.next().execute(() -> node.start(group, WARM_UP_REQUESTS, DISCOVERY_WAIT_MS,
+                group::shutdownGracefully));
     }
 
     private static void exit(String reason, int code) {
         System.err.println("cedarrelay: " + reason);
-        // No orderly stop: there is nothing to answer, and the hook would wait for it.
+        // Skips the shutdown hook: it would wait for a graceful stop although no request is pending.
         Runtime.getRuntime().halt(code);
     }
 
-    /** Runs as the shutdown hook of SIGTERM; halting from it is what makes the exit code 0. */
+    /**
+     * Stops the node gracefully, as the shutdown hook that runs on SIGTERM. Halting from within the hook
+     * makes the exit code 0; otherwise the JVM would exit with 143.
+     */
     private static void stop(Node node, EventLoop loop) {
-        CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> node.stop(done::countDown));
+        CountDownLatch stopped = new CountDownLatch(1);
+        loop.execute(() -> node.stop(stopped::countDown));
         try {
-            done.await(node.stopsWithinMs(), TimeUnit.MILLISECONDS);
+            stopped.await(node.stopsWithinMs(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cedarrelay/node/PunctualIo.java
+++ b/src/main/java/cedarrelay/node/PunctualIo.java
@@ -10,20 +10,21 @@
 import io.netty.channel.nio.NioIoHandler;
 
 /**
- * Netty's NIO handler with its waits rounded up. Netty rounds the time to the next timer to whole
- * milliseconds: woken up to half of one too early, the loop turns without waiting until the timer is due. On
- * a node whose requests wait, with a timer every few milliseconds, that takes processor time from the work.
+ * Netty's NIO handler with the wait for the next timer rounded up to whole milliseconds. Netty rounds it to
+ * the nearest millisecond, so the event loop can wake up to half a millisecond early and then spins until the
+ * timer is due. On a node with queued requests, with a timer every few milliseconds, this wastes CPU time.
  */
 final class PunctualIo implements IoHandler {
-    /** With Netty's own half, what is left of a millisecond counts as a whole one. */
-    private static final long ROUNDED_UP_NS = TimeUnit.MILLISECONDS.toNanos(1) / 2 - 1;
+    /** With the half millisecond that Netty adds, this rounds a part of a millisecond up to a whole one. */
+    private static final long ROUND_UP_NS = TimeUnit.MILLISECONDS.toNanos(1) / 2 - 1;
 
-    private final IoHandler nio;
+    private final IoHandler delegate;
 
-    private PunctualIo(IoHandler nio) {
-        this.nio = nio;
+    private PunctualIo(IoHandler delegate) {
+        this.delegate = delegate;
     }
 
+    /** Returns a factory for {@code MultiThreadIoEventLoopGroup}, in place of {@link NioIoHandler}'s own. */
     static IoHandlerFactory newFactory() {
         IoHandlerFactory factory = NioIoHandler.newFactory();
         return executor -> new PunctualIo(factory.newHandler(executor));
@@ -31,66 +32,66 @@
 
     @Override
     public int run(IoHandlerContext context) {
-        return nio.run(new Rounded(context));
+        return delegate.run(new RoundedUpContext(context));
     }
 
     @Override
     public void initialize() {
-        nio.initialize();
+        delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-        nio.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        nio.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return nio.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        nio.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> type) {
-        return nio.isCompatible(type);
+        return delegate.isCompatible(type);
     }
 
-    /** The loop's own answers, but that a timer not yet due is further off. */
-    private record Rounded(IoHandlerContext loop) implements IoHandlerContext {
+    /** The event loop's context, with a longer delay to a timer that is not due yet. */
+    private record RoundedUpContext(IoHandlerContext delegate) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
-            return loop.canBlock();
+            return delegate.canBlock();
         }
 
         @Override
         public long delayNanos(long nowNs) {
-            long delayNs = loop.delayNanos(nowNs);
-            return delayNs <= 0 || delayNs > Long.MAX_VALUE - ROUNDED_UP_NS ? delayNs
-                    : delayNs + ROUNDED_UP_NS;
+            long delayNs = delegate.delayNanos(nowNs);
+            return delayNs <= 0 || delayNs > Long.MAX_VALUE - ROUND_UP_NS ? delayNs
+                    : delayNs + ROUND_UP_NS;
         }
 
         @Override
         public long deadlineNanos() {
-            return loop.deadlineNanos();
+            return delegate.deadlineNanos();
         }
 
         @Override
         public void reportActiveIoTime(long ns) {
-            loop.reportActiveIoTime(ns);
+            delegate.reportActiveIoTime(ns);
         }
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            return loop.shouldReportActiveIoTime();
+            return delegate.shouldReportActiveIoTime();
         }
     }
 }
--- a/src/main/java/cedarrelay/node/Sockets.java
+++ b/src/main/java/cedarrelay/node/Sockets.java
@@ -3,102 +3,122 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Counts the sockets of both sides against the process's limit of descriptors, and makes room by closing
- * idle ones before the system has to refuse one.
+ * Keeps the number of open sockets, to clients and to servers together, below the process's limit of file
+ * descriptors. Closes idle connections to make room before the system refuses a descriptor.
  */
 final class Sockets {
-    /** Descriptors kept back: the runtime's own files and selector, the listening socket, discovery, and
-     * those that a close has not given back yet. */
+    /** Descriptors reserved for the runtime's own files and selector, the listening socket, discovery, and
+     * sockets whose close has not released the descriptor yet. */
     static final int RESERVE = 64;
-    /** Clients may take this share of the rest: what they ask for needs connections to servers. */
-    private static final double CLIENTS_SHARE = 0.75;
-
-    /** From this share of the limit on clients' connections are many: they ask on a third of it at most. */
-    private static final double MANY_CLIENTS_SHARE = 1.0 / 6;
-
-    /** From this share on none is kept for a next request: the answer says so, which crosses nothing. */
-    private static final double CROWD_SHARE = 1.0 / 4;
-
-    private final int most;
-    private final int mostClients;
-    private final int crowd;
-    private final int manyClients;
+    /** Maximum share of client connections in the descriptors above the reserve; the requests of clients need
+     * connections to servers. */
+    private static final double MAX_CLIENTS_SHARE = 0.75;
+
+    /** Above this share of the limit, idle client connections are closed. Clients send requests on at most a
+     * third of that many connections at a time. */
+    private static final double CLOSE_IDLE_SHARE = 1.0 / 6;
+
+    /** Above this share of the limit, every response closes its client connection. A close announced in the
+     * response cannot race with the client's next request. */
+    private static final double CLOSE_AFTER_RESPONSE_SHARE = 1.0 / 4;
+
+    private final int maxSockets;
+    private final int maxClients;
+    private final int closeAfterResponseThreshold;
+    private final int closeIdleThreshold;
     private BooleanSupplier closeIdleClient = () -> false;
     private BooleanSupplier closeIdleServer = () -> false;
-    private Runnable onRoom = () -> { };
+    private Runnable onRoomAvailable = () -> { };
     private int clients;
     private int servers;
 
+    /** Takes the process's limit of file descriptors, {@link #RESERVE} included. */
     Sockets(int limit) {
-        most = Math.max(2, limit - RESERVE);
-        mostClients = Math.max(1, (int) (CLIENTS_SHARE * most));
-        crowd = (int) (CROWD_SHARE * limit);
-        manyClients = Math.min(mostClients, (int) (MANY_CLIENTS_SHARE * limit));
+        maxSockets = Math.max(2, limit - RESERVE);
+        maxClients = Math.max(1, (int) (MAX_CLIENTS_SHARE * maxSockets));
+        closeAfterResponseThreshold = (int) (CLOSE_AFTER_RESPONSE_SHARE * limit);
+        closeIdleThreshold = Math.min(maxClients, (int) (CLOSE_IDLE_SHARE * limit));
     }
 
-    /** How to close an idle connection of the client side, and what to do when there is room again. */
-    void clientSide(BooleanSupplier closeIdle, Runnable whenRoom) {
-        closeIdleClient = closeIdle;
-        onRoom = whenRoom;
+    /**
+     * Registers the client side.
+     *
+     * @param closeIdleConnection closes one idle client connection; false if there is none
+     * @param whenRoomAvailable runs after each closed connection, when there may be room for another client
+     */
+    void clientSide(BooleanSupplier closeIdleConnection, Runnable whenRoomAvailable) {
+        closeIdleClient = closeIdleConnection;
+        onRoomAvailable = whenRoomAvailable;
     }
 
-    /** How to close an idle connection to a server. */
-    void serverSide(BooleanSupplier closeIdle) {
-        closeIdleServer = closeIdle;
+    /** Registers how to close one idle server connection; the supplier returns false if there is none. */
+    void serverSide(BooleanSupplier closeIdleConnection) {
+        closeIdleServer = closeIdleConnection;
     }
 
+    /** Whether one more client connection stays within the limits. */
     boolean isClientRoom() {
-        return clients < mostClients && clients + servers < most;
+        return clients < maxClients && clients + servers < maxSockets;
     }
 
-    /** Whether idle ones are better closed than kept. */
+    /** Whether there are so many client connections that idle ones should be closed. */
     boolean areClientsMany() {
-        return clients > manyClients;
+        return clients > closeIdleThreshold;
     }
 
-    /** Whether a client's connection is better ended with its answer. */
+    /** Whether there are so many client connections that each should be closed after its response. */
     boolean areClientsCrowded() {
-        return clients > crowd;
+        return clients > closeAfterResponseThreshold;
     }
 
-    /** Counts an accepted connection. */
+    /** Counts an accepted client connection, even if it exceeds the limit. */
     void addClient() {
         clients++;
     }
 
-    /** Closes idle connections if another client's may not be accepted; whether it may now. */
+    /**
+     * Closes idle connections until one more client connection stays within the limits or none is idle.
+     *
+     * @return whether another client connection may be accepted
+     */
     boolean makeClientRoom() {
-        // Several are accepted at once: the count may lie beyond the bound by as many.
+        // Several connections are accepted at once, so the count may exceed the limit by more than one.
         boolean closed = true;
         while (!isClientRoom() && closed) {
-            // At the clients' own bound a server's connection less would make no room.
-            closed = clients >= mostClients ? closeIdleClient.getAsBoolean() : closeIdle();
+            // At the limit of client connections, closing a server connection would make no room.
+            closed = clients >= maxClients ? closeIdleClient.getAsBoolean() : closeIdle();
         }
         return isClientRoom();
     }
 
+    /** Counts a closed client connection and announces the room. */
     void removeClient() {
         clients--;
-        onRoom.run();
+        onRoomAvailable.run();
     }
 
-    /** Counts a connection to a server, or says that there is no room for one. */
+    /**
+     * Counts a new server connection, after closing an idle connection if the limit is reached.
+     *
+     * @return false if there is no room; the connection is not counted then and must not be opened
+     */
     boolean addServer() {
-        if (clients + servers >= most && !closeIdle()) {
+        if (clients + servers >= maxSockets && !closeIdle()) {
             return false;
         }
         servers++;
         return true;
     }
 
+    /** Counts a closed server connection and announces the room. */
     void removeServer() {
         servers--;
-        onRoom.run();
+        onRoomAvailable.run();
     }
 
     /**
-     * Closes one idle connection. Servers' first: a request can cross the closing of a client's connection,
-     * but of none to a server.
+     * Closes one idle connection; false if there is none. Prefers a server connection: closing a client
+     * connection can race with the client's next request, while only this node sends requests to a server.
      */
     boolean closeIdle() {
         return closeIdleServer.getAsBoolean() || closeIdleClient.getAsBoolean();
--- a/src/test/java/cedarrelay/node/MainTest.java
+++ b/src/test/java/cedarrelay/node/MainTest.java
@@ -27,11 +27,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program as a process of its own: its start, its end, and few descriptors. */
+/** Runs the node as a separate process: start, graceful stop, reload, and limits of descriptors and heap. */
 @Timeout(120)
 class MainTest {
-    /** More than the 1,024 that no list may be capped under. */
-    private static final int MANY = 1_100;
+    /** More than 1,024: the node must accept server lists of at least that size. */
+    private static final int SERVER_COUNT = 1_100;
 
     private FakePeer discovery;
     private FakePeer server;
@@ -56,26 +56,28 @@
         server.close();
     }
 
-    private Path start(JsonObject config, String before) throws Exception {
+    /** Starts a node after a shell command and waits until it is ready; returns its configuration file. */
+    private Path start(JsonObject config, String shellPrefix) throws Exception {
         config.addProperty("listen", "127.0.0.1:" + port);
         Path file = Fixture.write(config);
-        run(file.toString(), before);
-        await("/ready");
+        run(file.toString(), shellPrefix);
+        awaitOk("/ready");
         return file;
     }
 
-    private void run(String config, String before) throws IOException {
-        run(config, before, "-Xmx64m");
+    private void run(String config, String shellPrefix) throws IOException {
+        run(config, shellPrefix, "-Xmx64m");
     }
 
-    private void run(String config, String before, String memory) throws IOException {
-        String path = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
+    private void run(String config, String shellPrefix, String jvmOptions) throws IOException {
+        String classPath = System.getProperty("surefire.test.class.path",
+                System.getProperty("java.class.path"));
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c",
-                before + "exec \"$JAVA\" -XX:+UseSerialGC -XX:TieredStopAtLevel=1 " + memory
+                shellPrefix + "exec \"$JAVA\" -XX:+UseSerialGC -XX:TieredStopAtLevel=1 " + jvmOptions
                 + " -cp \"$JARS\" cedarrelay.node.Main");
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
         builder.environment().put("JAVA", java.toString());
-        builder.environment().put("JARS", path);
+        builder.environment().put("JARS", classPath);
         builder.environment().remove("LB_CONFIG");
         builder.environment().remove("LB_LISTEN");
         builder.environment().remove("LB_DISCOVERY");
@@ -85,8 +87,9 @@
         process = builder.redirectErrorStream(true).start();
     }
 
-    private String said() {
-        // Not by the process itself, which would close what it has written so far.
+    /** Kills the process and returns what it has written to standard output and standard error. */
+    private String output() {
+        // Through the handle, as Process.destroyForcibly would close the stream with the output so far.
         process.toHandle().destroyForcibly();
         try {
             return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -101,48 +104,52 @@
         return socket;
     }
 
-    private void await(String path) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        String answer = "";
-        while (answer == null || !answer.startsWith("HTTP/1.1 200")) {
-            assertTrue(process.isAlive() && System.nanoTime() < until, "never ready");
+    /** Repeats a GET of the path until the response is a 200. */
+    private void awaitOk(String path) throws Exception {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
+        String response = "";
+        while (response == null || !response.startsWith("HTTP/1.1 200")) {
+            assertTrue(process.isAlive() && System.nanoTime() < deadlineNs,
+                    "the node ended or was not ready in time");
             try (Socket socket = connect()) {
                 FakePeer.write(socket, "GET " + path + " HTTP/1.1\r\n\r\n");
-                answer = FakePeer.read(socket);
+                response = FakePeer.read(socket);
             } catch (IOException e) {
-                // Not listening yet: the process must get the processor to come so far.
+                // Not listening yet: the starting process needs the CPU.
                 process.waitFor(20, TimeUnit.MILLISECONDS);
             }
         }
     }
 
     @Test
-    void sigtermWithARequestHeldAnswersItAndExitsWithZero() throws Exception {
+    void sigtermAnswersPendingRequestsAndExitsWithZero() throws Exception {
         server.script(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
-        Socket idle = connect();
+        Socket idleClient = connect();
         Socket client = connect();
         FakePeer.write(client, Fixture.request("POST", "/order", 1, "", "x"));
         server.nextRequest();
         Socket attempt = FakePeer.soon(server.accepted);
         process.destroy();
-        // Clients go on coming for a while, and are served.
-        Socket late = connect();
-        FakePeer.write(late, "GET /nothing HTTP/1.1\r\n\r\n");
-        assertTrue(FakePeer.read(late).startsWith("HTTP/1.1 404"), "a late connection is not served");
-        assertNull(FakePeer.read(idle), "an idle connection is closed after a while");
-        assertTrue(process.isAlive(), "gone with a request in hand");
+        // Clients keep connecting for a while after SIGTERM and must be served.
+        Socket lateClient = connect();
+        FakePeer.write(lateClient, "GET /nothing HTTP/1.1\r\n\r\n");
+        assertTrue(FakePeer.read(lateClient).startsWith("HTTP/1.1 404"),
+                "a client that connected after SIGTERM is not served");
+        assertNull(FakePeer.read(idleClient), "the idle connection is not closed");
+        assertTrue(process.isAlive(), "the process exited with a request pending");
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        String answer = FakePeer.read(client);
-        assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("done"), answer);
-        assertEquals("close", FakePeer.header(answer, "Connection"));
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still there after it");
+        String response = FakePeer.read(client);
+        assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("done"), response);
+        assertEquals("close", FakePeer.header(response, "Connection"));
+        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS),
+                "the process did not exit after the last response");
         assertEquals(0, process.exitValue());
     }
 
-    /** Whoever is called at night must see what the node did with each request, and why. */
+    /** An operator must be able to see what the node did with each request, and why. */
     @Test
-    void theLogAndTheMetricsTellWhatBecameOfARequest() throws Exception {
+    void logAndMetricsShowTheOutcomeOfARequest() throws Exception {
         server.script((socket, request) -> FakePeer.answer("200 OK", "", "done").run(socket, request));
         start(Fixture.config(discovery, server), "export LB_LOG=debug && ");
         try (Socket client = connect()) {
@@ -154,26 +161,26 @@
             assertTrue(metrics.contains("\ncedarrelay_requests_served_total 1\n"), metrics);
             assertTrue(metrics.contains("\ncedarrelay_attempts_written_total 1\n"), metrics);
         }
-        String said = said();
+        String output = output();
         for (String line : List.of("request 0000000000000abc taken, class 0,",
                 "request 0000000000000abc attempt 0 at s-" + server.port() + " ended OK",
                 "request 0000000000000abc closed: served by s-" + server.port() + ", after 1 attempts")) {
-            assertTrue(said.contains(line), said);
+            assertTrue(output.contains(line), output);
         }
     }
 
     @Test
-    void aLevelOfTheLogThatIsNoneEndsItWithOneClearLine() throws Exception {
+    void unknownLogLevelEndsTheProcessWithOneLineOfError() throws Exception {
         run(Fixture.write(Fixture.config(discovery, server)).toString(), "export LB_LOG=loud && ");
         assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
-        String said = said();
-        assertTrue(said.equals("cedarrelay: bad configuration: LB_LOG is not debug, info, warning or error:"
-                + " loud\n"), said);
+        String output = output();
+        assertTrue(output.equals("cedarrelay: bad configuration: LB_LOG is not debug, info, warning or error:"
+                + " loud\n"), output);
     }
 
     @Test
-    void sigtermWaitsForARequestWhoseClientWaitsForLong() throws Exception {
+    void sigtermWaitsForARequestWithALongDeadline() throws Exception {
         server.script(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
         Socket client = connect();
@@ -181,35 +188,37 @@
         server.nextRequest();
         Socket attempt = FakePeer.soon(server.accepted);
         process.destroy();
-        // SIGKILL may come after 3.7 s, but a client that waits for longer is the node's to answer till then.
-        assertFalse(process.waitFor(5, TimeUnit.SECONDS), "gone with a request in hand");
+        // SIGKILL may follow after 3.7 s; until then a client with a longer deadline is still owed a
+        // response.
+        assertFalse(process.waitFor(5, TimeUnit.SECONDS), "the process exited with a request pending");
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        String answer = FakePeer.read(client);
-        assertTrue(answer != null && answer.endsWith("done"), answer);
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still there after it");
+        String response = FakePeer.read(client);
+        assertTrue(response != null && response.endsWith("done"), response);
+        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS),
+                "the process did not exit after the last response");
         assertEquals(0, process.exitValue());
     }
 
     @Test
-    void sighupMovesTheWatchAndAFileThatIsBadChangesNothing() throws Exception {
-        try (FakePeer next = new FakePeer(FakePeer.SILENT)) {
+    void sighupMovesTheWatchAndAnInvalidFileChangesNothing() throws Exception {
+        try (FakePeer newDiscovery = new FakePeer(FakePeer.SILENT)) {
             JsonObject config = Fixture.config(discovery, server);
             Path file = start(config, "export LB_DISCOVERY=" + discovery.address() + " && ");
             assertTrue(discovery.nextRequest().contains("&after=41 "));
             Files.writeString(file, "{");
-            hangUp();
-            awaitLine("stays as it was");
-            config.addProperty("discovery", next.address());
+            sendSighup();
+            awaitOutput("the previous one stays in use");
+            config.addProperty("discovery", newDiscovery.address());
             Files.writeString(file, config.toString());
-            hangUp();
-            assertTrue(next.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
-                    "a version of another address is named");
+            sendSighup();
+            assertTrue(newDiscovery.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
+                    "the new watch names a list revision of the old discovery address");
             FakePeer.soon(discovery.ended);
             config.addProperty("discovery", discovery.address());
             Files.writeString(file, config.toString());
-            hangUp();
+            sendSighup();
             discovery.nextRequest();
-            FakePeer.soon(next.ended);
+            FakePeer.soon(newDiscovery.ended);
             try (Socket client = connect()) {
                 FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
@@ -217,89 +226,96 @@
         }
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     }
 
-    private void awaitLine(String part) throws IOException {
+    /** Reads the process's output up to a line that contains the text. */
+    private void awaitOutput(String part) throws IOException {
         StringBuilder line = new StringBuilder();
         while (line.indexOf(part) < 0) {
-            int next = process.getInputStream().read();
-            assertTrue(next >= 0, "the program has ended");
-            line.append((char) next);
-            if (next == '\n') {
+            int character = process.getInputStream().read();
+            assertTrue(character >= 0, "the process has exited");
+            line.append((char) character);
+            if (character == '\n') {
                 line.setLength(0);
             }
         }
     }
 
     @Test
-    void itSurvivesRunningOutOfDescriptors() throws Exception {
-        // The configuration promises more than the system gives.
+    void nodeSurvivesRunningOutOfDescriptors() throws Exception {
+        // The configured limit is higher than the system's.
         Path file = start(Fixture.config(discovery, server), "ulimit -n 100 && ");
-        // Classes are read from files here, which takes descriptors, and not from one open jar.
-        try (Socket before = connect()) {
-            FakePeer.write(before, Fixture.request("GET", "/view", 0, "", ""));
-            assertTrue(FakePeer.read(before).startsWith("HTTP/1.1 200"), "not served before");
+        // Unlike in a deployment with one open jar, loading classes takes descriptors here: load them first.
+        try (Socket firstClient = connect()) {
+            FakePeer.write(firstClient, Fixture.request("GET", "/view", 0, "", ""));
+            assertTrue(FakePeer.read(firstClient).startsWith("HTTP/1.1 200"),
+                    "not served before descriptors run out");
         }
-        List<Socket> many = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            many.add(connect());
+            clients.add(connect());
         }
-        // Idle ones make room, so that each that asks is answered; requests held stay.
-        Socket asking = many.get(many.size() - 1);
-        FakePeer.write(asking, Fixture.request("GET", "/view", 1, "", ""));
-        String answer = FakePeer.read(asking);
-        assertTrue(answer != null && answer.startsWith("HTTP/1.1 "),
-                () -> answer + " while descriptors are short: " + said());
-        // A line in the log takes none either.
+        // Idle connections are closed to make room, so each request gets a response; pending requests stay.
+        Socket activeClient = clients.get(clients.size() - 1);
+        FakePeer.write(activeClient, Fixture.request("GET", "/view", 1, "", ""));
+        String response = FakePeer.read(activeClient);
+        assertTrue(response != null && response.startsWith("HTTP/1.1 "),
+                () -> response + " while descriptors are short: " + output());
+        // Logging must not need a descriptor either.
         Files.writeString(file, "{");
-        hangUp();
-        awaitLine("stays as it was");
-        for (Socket socket : many) {
+        sendSighup();
+        awaitOutput("the previous one stays in use");
+        for (Socket socket : clients) {
             socket.close();
         }
-        try (Socket after = connect()) {
-            FakePeer.write(after, Fixture.request("GET", "/view", 2, "", ""));
-            assertTrue(FakePeer.read(after).startsWith("HTTP/1.1 200"), "not served afterwards");
+        try (Socket lastClient = connect()) {
+            FakePeer.write(lastClient, Fixture.request("GET", "/view", 2, "", ""));
+            assertTrue(FakePeer.read(lastClient).startsWith("HTTP/1.1 200"),
+                    "not served after the clients have closed");
         }
     }
 
-    /** Clients that ask once or never and stay, more than there are descriptors, while discovery is down. */
+    /**
+     * More clients than descriptors send one request or none and stay connected, while discovery sends no
+     * list. They must not prevent a list update, server connections or the requests of other clients.
+     */
     @Test
-    void idleClientsTakeNoDescriptorFromDiscoveryServersAndRequests() throws Exception {
+    void idleClientsLeaveDescriptorsForDiscoveryServersAndActiveClients() throws Exception {
         JsonObject config = Fixture.config(discovery, server);
         config.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
         start(config, "ulimit -n 128 && ");
-        List<Socket> idle = new ArrayList<>();
-        try (FakePeer fresh = new FakePeer(FakePeer.answer("200 OK", "", "fresh"))) {
+        List<Socket> idleClients = new ArrayList<>();
+        try (FakePeer newServer = new FakePeer(FakePeer.answer("200 OK", "", "fresh"))) {
             for (int i = 0; i < 300; i++) {
-                idle.add(connect());
+                idleClients.add(connect());
                 if (i % 2 == 0) {
-                    FakePeer.write(idle.get(i), Fixture.request("GET", "/view", i, "", ""));
+                    FakePeer.write(idleClients.get(i), Fixture.request("GET", "/view", i, "", ""));
                 }
             }
-            discovery.script((watch, call) -> {
+            discovery.script((watch, request) -> {
                 Fixture.beginWatch(watch);
-                Fixture.line(watch, Fixture.list(42, true, "Ready", fresh));
+                Fixture.line(watch, Fixture.list(42, true, "Ready", newServer));
             });
-            long backNs = System.nanoTime();
-            for (int i = 1_000; fresh.requests.isEmpty(); i++) {
-                try (Socket asking = connect()) {
-                    FakePeer.write(asking, Fixture.request("GET", "/view", i, "", ""));
-                    String answer = FakePeer.read(asking);
-                    assertTrue(answer != null && answer.startsWith("HTTP/1.1 200"), answer);
+            long discoveryBackNs = System.nanoTime();
+            for (int i = 1_000; newServer.requests.isEmpty(); i++) {
+                try (Socket activeClient = connect()) {
+                    FakePeer.write(activeClient, Fixture.request("GET", "/view", i, "", ""));
+                    String response = FakePeer.read(activeClient);
+                    assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
                 }
-                assertTrue(System.nanoTime() - backNs < TimeUnit.SECONDS.toNanos(6), "not told in time");
+                assertTrue(System.nanoTime() - discoveryBackNs < TimeUnit.SECONDS.toNanos(6),
+                        "the new server list is not in use in time");
             }
         }
-        for (Socket socket : idle) {
+        for (Socket socket : idleClients) {
             socket.close();
         }
     }
 
-    /** The sizes of memory that {@code run} in the deploy file sets. */
-    private static String deployedMemory() throws IOException {
+    /** The JVM's memory options in the {@code run} setting of the deploy file. */
+    private static String deployedHeapOptions() throws IOException {
         String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
                 .filter(line -> line.startsWith("run ")).findFirst().orElseThrow();
         String sizes = Arrays.stream(run.split(" ")).filter(option -> option.matches("-X.*\\d+m"))
@@ -308,59 +324,60 @@
         return sizes;
     }
 
-    private static JsonObject manyAt(FakePeer peer, String prefix) {
+    /** A full server list whose entries all have the address of the peer. */
+    private static JsonObject listOfManyServers(FakePeer peer, String prefix) {
         JsonObject list = JsonParser.parseString(Fixture.list(43, true, "Ready", peer)).getAsJsonObject();
-        JsonObject one = list.getAsJsonArray("targets").get(0).getAsJsonObject();
-        for (int i = 1; i < MANY; i++) {
-            JsonObject next = one.deepCopy();
-            next.addProperty("uid", prefix + i);
-            list.getAsJsonArray("targets").add(next);
+        JsonObject first = list.getAsJsonArray("targets").get(0).getAsJsonObject();
+        for (int index = 1; index < SERVER_COUNT; index++) {
+            JsonObject target = first.deepCopy();
+            target.addProperty("uid", prefix + index);
+            list.getAsJsonArray("targets").add(target);
         }
         return list;
     }
 
     @Test
-    void listsOfOverAThousandServersAreTakenOnTheDeployedHeap() throws Exception {
+    void listsOfOverAThousandServersFitInTheDeployedHeap() throws Exception {
         Gson indented = new GsonBuilder().setPrettyPrinting().create();
         JsonObject config = Fixture.config(discovery, server);
-        config.add("known", manyAt(server, "known-"));
+        config.add("known", listOfManyServers(server, "known-"));
         config.addProperty("listen", "127.0.0.1:" + port);
-        config.getAsJsonObject("settings").addProperty("balancers", MANY);
+        config.getAsJsonObject("settings").addProperty("balancers", SERVER_COUNT);
         Path file = Files.writeString(Fixture.write(config), indented.toJson(config));
-        try (FakePeer fresh = new FakePeer(FakePeer.answer("200 OK", "", "fresh"))) {
-            run(file.toString(), "", deployedMemory());
+        try (FakePeer newServer = new FakePeer(FakePeer.answer("200 OK", "", "fresh"))) {
+            run(file.toString(), "", deployedHeapOptions());
             discovery.nextRequest();
-            await("/ready");
+            awaitOk("/ready");
             try (Socket client = connect()) {
                 FakePeer.write(client, Fixture.request("GET", "/view", 0, "", ""));
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
                 assertFalse(server.requests.isEmpty(), "the known list is not in use");
                 Socket watch = FakePeer.soon(discovery.accepted);
                 Fixture.beginWatch(watch);
-                String list = indented.toJson(manyAt(fresh, "fresh-"));
+                String list = indented.toJson(listOfManyServers(newServer, "fresh-"));
                 for (int from = 0; from < list.length(); from += 1_000) {
                     Fixture.piece(watch, list.substring(from, Math.min(list.length(), from + 1_000)));
                 }
-                long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
-                for (int i = 1; fresh.requests.isEmpty(); i++) {
+                long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+                for (int i = 1; newServer.requests.isEmpty(); i++) {
                     FakePeer.write(client, Fixture.request("GET", "/view", i, "", ""));
                     assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
-                    assertTrue(System.nanoTime() - untilNs < 0, "the list from discovery is not taken");
+                    assertTrue(System.nanoTime() - deadlineNs < 0, "the list from discovery is not in use");
                 }
             }
         }
-        String said = said();
-        assertFalse(said.contains("failed") || said.contains("Error"), said);
+        String output = output();
+        assertFalse(output.contains("failed") || output.contains("Error"), output);
     }
 
     @Test
-    void manyLargeRequestsAtOnceDoNotCostIt() throws Exception {
+    void manyLargeConcurrentRequestsDoNotExhaustTheHeap() throws Exception {
         server.script(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
-        List<Socket> many = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             Socket socket = connect();
-            many.add(socket);
+            clients.add(socket);
             try {
                 FakePeer.write(socket, Fixture.request("POST", "/order", i, "", "x"));
                 for (int j = 0; j < 14; j++) {
@@ -368,47 +385,48 @@
                             "x".repeat(60_000)));
                 }
             } catch (IOException e) {
-                // Closed, or no longer read: either will do.
+                // The node may close the connection or stop reading it.
                 continue;
             }
         }
-        await("/ready");
-        for (Socket socket : many) {
+        awaitOk("/ready");
+        for (Socket socket : clients) {
             socket.close();
         }
         assertTrue(process.isAlive());
-        String said = said();
-        assertFalse(said.contains("OutOfMemory"), said);
+        String output = output();
+        assertFalse(output.contains("OutOfMemory"), output);
     }
 
     @Test
-    void aBadConfigurationEndsItWithOneClearLine() throws Exception {
+    void invalidConfigurationEndsTheProcessWithOneLineOfError() throws Exception {
         JsonObject noSettings = Fixture.config(discovery, server);
         noSettings.remove("settings");
         JsonObject noSeed = Fixture.config(discovery, server);
         noSeed.remove("seed");
         JsonObject noClasses = Fixture.config(discovery, server);
         noClasses.getAsJsonObject("settings").remove("classes");
-        JsonObject noEffect = Fixture.config(discovery, server);
-        noEffect.getAsJsonObject("settings").getAsJsonArray("classes").get(0).getAsJsonObject()
+        JsonObject badRepeat = Fixture.config(discovery, server);
+        badRepeat.getAsJsonObject("settings").getAsJsonArray("classes").get(0).getAsJsonObject()
                 .addProperty("repeat", "perhaps");
         Path broken = Files.createTempFile("node", ".json");
         Files.writeString(broken, "{");
-        rejected(null, "LB_CONFIG");
-        rejected("/nowhere/config.json", "LB_CONFIG");
-        rejected(broken.toString(), "JSON");
-        rejected(Fixture.write(noSettings).toString(), "settings");
-        rejected(Fixture.write(noSeed).toString(), "seed");
-        rejected(Fixture.write(noClasses).toString(), "classes");
-        rejected(Fixture.write(noEffect).toString(), "classes.0.repeat is unknown: perhaps");
+        assertRejected(null, "LB_CONFIG");
+        assertRejected("/nowhere/config.json", "LB_CONFIG");
+        assertRejected(broken.toString(), "JSON");
+        assertRejected(Fixture.write(noSettings).toString(), "settings");
+        assertRejected(Fixture.write(noSeed).toString(), "seed");
+        assertRejected(Fixture.write(noClasses).toString(), "classes");
+        assertRejected(Fixture.write(badRepeat).toString(), "classes.0.repeat is unknown: perhaps");
         Files.delete(broken);
     }
 
-    private void rejected(String config, String named) throws Exception {
+    /** Checks that the process exits with code 2 and one line that contains the text. */
+    private void assertRejected(String config, String expected) throws Exception {
         run(config, "");
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still running");
-        assertEquals(2, process.exitValue(), said);
-        assertTrue(said.contains(named) && said.lines().count() == 1, said);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "the process did not exit");
+        assertEquals(2, process.exitValue(), output);
+        assertTrue(output.contains(expected) && output.lines().count() == 1, output);
     }
 }
--- a/src/test/java/cedarrelay/node/NodeProcess.java
+++ b/src/test/java/cedarrelay/node/NodeProcess.java
@@ -11,23 +11,23 @@
 
 import com.google.gson.JsonObject;
 
-/** A node as a process of its own, on a free port of the loopback interface. */
+/** A node that runs as a separate process, with plain accessors for its HTTP endpoints and signals. */
 final class NodeProcess implements Closeable {
-    private static final long START_S = 60;
-    private static final long POLL_MS = 20;
+    private static final long START_TIMEOUT_S = 60;
+    private static final long POLL_INTERVAL_MS = 20;
 
     final int port;
     private final Process process;
 
-    /** Starts the program with this configuration; its log goes to the file. */
+    /** Starts a node on a loopback port; appends its standard output and standard error to the log file. */
     NodeProcess(JsonObject config, int port, Path log, Map<String, String> environment) throws IOException {
         this.port = port;
         config.addProperty("listen", "127.0.0.1:" + port);
-        String classes = System.getProperty("surefire.test.class.path",
+        String classPath = System.getProperty("surefire.test.class.path",
                 System.getProperty("java.class.path"));
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", classes, "cedarrelay.node.Main");
+                "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", classPath, "cedarrelay.node.Main");
         builder.environment().keySet().removeIf(name -> name.startsWith("LB_"));
         builder.environment().putAll(environment);
         builder.environment().put("LB_CONFIG", Fixture.write(config).toString());
@@ -41,23 +41,25 @@
         }
     }
 
+    /** Opens a client connection whose reads time out. */
     Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
         return socket;
     }
 
+    /** Waits until the node is ready; throws AssertionError if it exits or is not ready in time. */
     void awaitReady() throws Exception {
-        long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
         while (!isReady()) {
-            if (!process.isAlive() || System.nanoTime() - untilNs > 0) {
-                throw new AssertionError("never ready");
+            if (!process.isAlive() || System.nanoTime() - deadlineNs > 0) {
+                throw new AssertionError("the node exited or was not ready in time");
             }
-            process.waitFor(POLL_MS, TimeUnit.MILLISECONDS);
+            process.waitFor(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Whether it says that it is ready, and listens at all. */
+    /** Whether the node accepts connections and reports that it is ready. */
     boolean isReady() {
         try {
             return get("/ready").startsWith("HTTP/1.1 200");
@@ -66,31 +68,31 @@
         }
     }
 
-    /** One of its counters, by its name without the common prefix. */
+    /** The value of a metric, by its name without the prefix {@code cedarrelay_}. */
     long metric(String name) throws IOException {
         for (String line : get("/metrics").split("\n")) {
             if (line.startsWith("cedarrelay_" + name + " ")) {
                 return Long.parseLong(line.substring(line.indexOf(' ') + 1).trim());
             }
         }
-        throw new AssertionError("no metric " + name);
+        throw new AssertionError("the node has no metric " + name);
     }
 
     private String get(String path) throws IOException {
         try (Socket socket = connect()) {
             FakePeer.write(socket, "GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
-            String answer = FakePeer.read(socket);
-            if (answer == null) {
-                throw new IOException("no answer");
+            String response = FakePeer.read(socket);
+            if (response == null) {
+                throw new IOException("the node closed the connection without a response");
             }
-            return answer;
+            return response;
         }
     }
 
-    /** Sends a signal, by its name without SIG. */
+    /** Sends a signal to the process, by its name without the prefix SIG. */
     void signal(String name) throws Exception {
         if (new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor() != 0) {
-            throw new AssertionError("can't be signalled");
+            throw new AssertionError("cannot send a signal to the node process");
         }
     }
 
@@ -98,6 +100,7 @@
         return process.isAlive();
     }
 
+    /** Waits for the process to exit; false if it still runs after the time. */
     boolean awaitEnd(long ms) throws InterruptedException {
         return process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
--- a/src/test/java/cedarrelay/node/PunctualIoTest.java
+++ b/src/test/java/cedarrelay/node/PunctualIoTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A loop with nothing to do waits for its next timer, and does not turn until it is due. */
+/** An idle event loop blocks until its next timer is due, instead of waking up early and spinning. */
 @Timeout(60)
 class PunctualIoTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, PunctualIo.newFactory());
@@ -23,8 +23,8 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    /** A loop that has one timer and nothing else. */
-    private record Timer(long dueNs) implements IoHandlerContext {
+    /** The context of an event loop with one timer and no other task. */
+    private record SingleTimerContext(long dueNs) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return true;
@@ -42,14 +42,15 @@
     }
 
     @Test
-    void aTurnDoesNotEndBeforeTheTimerIsDue() {
+    void runDoesNotReturnBeforeTheTimerIsDue() {
         IoHandler io = PunctualIo.newFactory().newHandler(group.next());
         io.initialize();
         for (int tenths = 1; tenths < 30; tenths++) {
             long dueNs = System.nanoTime() + 100_000L * tenths;
-            assertEquals(0, io.run(new Timer(dueNs)));
-            long leftNs = dueNs - System.nanoTime();
-            assertTrue(leftNs <= 0, "turned " + leftNs + " ns before the timer " + tenths + " tenths off");
+            assertEquals(0, io.run(new SingleTimerContext(dueNs)));
+            long remainingNs = dueNs - System.nanoTime();
+            assertTrue(remainingNs <= 0,
+                    "returned " + remainingNs + " ns before the timer after " + tenths + " tenths of a ms");
         }
         io.prepareToDestroy();
         io.destroy();
