--- a/src/main/java/cedarrelay/benchlink/BootInfo.java
+++ b/src/main/java/cedarrelay/benchlink/BootInfo.java
@@ -10,9 +10,10 @@
 import cedarrelay.Balancer.Tenant;
 
 /**
- * Turns the wire's settings into the module's. Missing settings take the module's documented defaults,
- * but for the classes and their main figures, which are named as missing. The adapter and the real node
- * share it, so that both run the module under the same settings.
+ * Converts settings given as path=value pairs to the balancer's {@link Settings}. A missing setting takes the
+ * balancer's documented default, except for the request classes and their mandatory values, which are
+ * reported as missing. The simulator's adapter and the real node share this class, so that the balancer runs
+ * with the same settings in both.
  */
 public final class BootInfo {
     private final Map<String, String> values;
@@ -22,51 +23,52 @@
     }
 
     /**
-     * Reads settings given as the wire's path=value pairs.
+     * Reads settings given as path=value pairs; unknown paths are ignored.
      *
-     * @throws IllegalArgumentException naming the path that is missing or senseless
+     * @throws IllegalArgumentException if a mandatory path is missing or a value is invalid; the message
+     * names the path
      */
     public static Settings read(Map<String, String> values) {
         return new BootInfo(values).settings();
     }
 
     private Settings settings() {
-        Settings set = new Settings();
-        set.nodes = (int) whole("balancers", set.nodes);
+        Settings settings = new Settings();
+        settings.nodes = (int) wholeNumber("balancers", settings.nodes);
         for (String zone : list("zones")) {
-            set.zones.add(zone);
+            settings.zones.add(zone);
         }
-        set.myZone = Math.max(0, set.zones.indexOf(values.getOrDefault("myZone", "")));
-        int classes = (int) whole("classes.count", 0);
+        settings.myZone = Math.max(0, settings.zones.indexOf(values.getOrDefault("myZone", "")));
+        int classes = (int) wholeNumber("classes.count", 0);
         for (int i = 0; i < classes; i++) {
-            set.classes.add(requestClass("classes." + i + "."));
+            settings.classes.add(requestClass("classes." + i + "."));
         }
-        int tenants = (int) whole("realms.count", 0);
+        int tenants = (int) wholeNumber("realms.count", 0);
         for (int i = 0; i < tenants; i++) {
             String prefix = "realms." + i + ".";
-            set.tenants.add(new Tenant(need(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
+            settings.tenants.add(new Tenant(require(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
-        set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
-        set.worthByWork = "work".equals(values.get("countedBy"));
-        set.maxAttempts = (int) whole("limits.attemptsCap", set.maxAttempts);
-        set.secondCopies = flag("limits.parallelTries");
-        set.cancel = flag("limits.cancelling");
-        set.probes = flag("limits.probes");
-        set.marksRetry = flag("callers.marksRetry");
-        set.maxRetryAfterUs = whole("limits.maxRetryAfterUs", 0);
-        set.tickUs = whole("quantumUs", set.tickUs);
-        set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
-        set.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        set.askWithinUs = whole("rules.askWithinUs", set.askWithinUs);
-        set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.coldFrom = decimal("rules.coldFrom", set.coldFrom);
-        set.coldUs = whole("rules.coldUs", set.coldUs);
-        set.fallMultiple = decimal("rules.overloadFactor", set.fallMultiple);
-        set.fallUs = whole("rules.fallUs", set.fallUs);
-        set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
-        set.probePrice = decimal("costs.probe", set.probePrice);
+        settings.overShareWorth = decimal("overShareWorth", settings.overShareWorth);
+        settings.worthByWork = "work".equals(values.get("countedBy"));
+        settings.maxAttempts = (int) wholeNumber("limits.attemptsCap", settings.maxAttempts);
+        settings.secondCopies = flag("limits.parallelTries");
+        settings.cancel = flag("limits.cancelling");
+        settings.probes = flag("limits.probes");
+        settings.marksRetry = flag("callers.marksRetry");
+        settings.maxRetryAfterUs = wholeNumber("limits.maxRetryAfterUs", 0);
+        settings.tickUs = wholeNumber("quantumUs", settings.tickUs);
+        settings.connectTimeoutUs = wholeNumber("limits.dialTimeoutUs", settings.connectTimeoutUs);
+        settings.listOnRequest = "on_request".equals(values.get("membershipMode"));
+        settings.askWithinUs = wholeNumber("rules.askWithinUs", settings.askWithinUs);
+        settings.drainGraceUs = wholeNumber("rules.drainGraceUs", settings.drainGraceUs);
+        settings.coldFrom = decimal("rules.coldFrom", settings.coldFrom);
+        settings.coldUs = wholeNumber("rules.coldUs", settings.coldUs);
+        settings.fallMultiple = decimal("rules.overloadFactor", settings.fallMultiple);
+        settings.fallUs = wholeNumber("rules.fallUs", settings.fallUs);
+        settings.crossZonePrice = decimal("costs.crossZone", settings.crossZonePrice);
+        settings.probePrice = decimal("costs.probe", settings.probePrice);
         for (String field : list("report.fields")) {
-            set.reportFields.add(switch (field) {
+            settings.reportFields.add(switch (field) {
                 case "concurrent" -> ReportField.IN_FLIGHT;
                 case "depth" -> ReportField.QUEUED;
                 case "load_share" -> ReportField.UTILISATION;
@@ -76,34 +78,34 @@
                 default -> ReportField.OTHER;
             });
         }
-        return set;
+        return settings;
     }
 
     private RequestClass requestClass(String prefix) {
-        String repeat = need(prefix + "repeat");
+        String repeat = require(prefix + "repeat");
         String group = values.getOrDefault(prefix + "group", "all");
-        return new RequestClass(need(prefix + "name"), whole(prefix + "onTimeUs"),
-                decimal(prefix + "aimStretch", 0), whole(prefix + "giveUpUs"),
+        return new RequestClass(require(prefix + "name"), wholeNumber(prefix + "onTimeUs"),
+                decimal(prefix + "aimStretch", 0), wholeNumber(prefix + "giveUpUs"),
                 decimal(prefix + "importance", 1), decimal(prefix + "lateWorth", 0),
                 switch (repeat) {
                     case "safe" -> Repeat.SAFE;
                     case "keyed" -> Repeat.KEYED;
                     case "unsafe" -> Repeat.UNSAFE;
-                    default -> throw bad(prefix + "repeat", "is unknown: " + repeat);
+                    default -> throw invalid(prefix + "repeat", "is unknown: " + repeat);
                 },
                 switch (group) {
                     case "all" -> Group.ALL;
                     case "zone" -> Group.ZONE;
                     case "cell" -> Group.CELL;
-                    default -> throw bad(prefix + "group", "is unknown: " + group);
+                    default -> throw invalid(prefix + "group", "is unknown: " + group);
                 },
-                whole(prefix + "windowUs", 0), flag(prefix + "stream"));
+                wholeNumber(prefix + "windowUs", 0), flag(prefix + "stream"));
     }
 
-    private String need(String path) {
+    private String require(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw bad(path, "is missing");
+            throw invalid(path, "is missing");
         }
         return value;
     }
@@ -118,27 +120,27 @@
         return "1".equals(value) || "true".equals(value);
     }
 
-    private long whole(String path) {
-        return (long) decimal(path, need(path));
+    private long wholeNumber(String path) {
+        return (long) decimal(path, require(path));
     }
 
-    private long whole(String path, long otherwise) {
-        return values.containsKey(path) ? whole(path) : otherwise;
+    private long wholeNumber(String path, long defaultValue) {
+        return values.containsKey(path) ? wholeNumber(path) : defaultValue;
     }
 
-    private double decimal(String path, double otherwise) {
-        return values.containsKey(path) ? decimal(path, need(path)) : otherwise;
+    private double decimal(String path, double defaultValue) {
+        return values.containsKey(path) ? decimal(path, require(path)) : defaultValue;
     }
 
     private double decimal(String path, String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(path, "is not a number");
+            throw invalid(path, "is not a number");
         }
     }
 
-    private static IllegalArgumentException bad(String path, String reason) {
+    private static IllegalArgumentException invalid(String path, String reason) {
         return new IllegalArgumentException(path + " " + reason);
     }
 }
--- a/src/main/java/cedarrelay/benchlink/Line.java
+++ b/src/main/java/cedarrelay/benchlink/Line.java
@@ -5,19 +5,26 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
+/**
+ * Reader of the simulator's protocol, positioned on one line at a time: a name, then key=value fields,
+ * separated by single spaces. Reuses one buffer and converts fields on demand, to allocate as little as
+ * possible.
+ *
+ * <p>Methods that read a field without a default throw {@link WireException} if it is missing; all throw it
+ * if the value is malformed.
+ */
 final class Line {
-    private static final int FIRST_BUFFER = 1 << 16;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
-    private byte[] buffer = new byte[FIRST_BUFFER];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int filled;
-    private int start;
-    private int end;
-    private long number;
+    private int lineStart;
+    private int lineEnd;
+    private long lineNumber;
 
     private int nameEnd;
-    private int fields;
+    private int fieldCount;
     private int[] keyStart = new int[16];
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
@@ -26,91 +33,96 @@
         this.in = in;
     }
 
-    /** Moves to the next line; false at the end of input. */
+    /** Moves to the next line, waiting for input as needed; false at the end of input. */
     boolean next() throws IOException {
-        start = number == 0 ? 0 : end + 1;
-        number++;
-        int scan = start;
+        lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
+        lineNumber++;
+        int scanPos = lineStart;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
-                scan++;
+            while (scanPos < filled && buffer[scanPos] != '\n') {
+                scanPos++;
             }
-            if (scan < filled) {
-                end = scan;
+            if (scanPos < filled) {
+                lineEnd = scanPos;
                 split();
                 return true;
             }
-            if (start > 0) {
-                System.arraycopy(buffer, start, buffer, 0, filled - start);
-                filled -= start;
-                scan -= start;
-                start = 0;
+            if (lineStart > 0) {
+                System.arraycopy(buffer, lineStart, buffer, 0, filled - lineStart);
+                filled -= lineStart;
+                scanPos -= lineStart;
+                lineStart = 0;
             }
             if (filled == buffer.length) {
                 buffer = Arrays.copyOf(buffer, 2 * buffer.length);
             }
             int read = in.read(buffer, filled, buffer.length - filled);
             if (read < 0) {
-                end = filled;
-                if (filled == start) {
+                lineEnd = filled;
+                if (filled == lineStart) {
                     return false;
                 }
                 split();
-                // The next call must find nothing more.
-                buffer[end < buffer.length ? end : end - 1] = '\n';
-                filled = Math.min(end + 1, buffer.length);
+                // The last line has no newline: add one, so that the next call finds the end of input.
+                buffer[lineEnd < buffer.length ? lineEnd : lineEnd - 1] = '\n';
+                filled = Math.min(lineEnd + 1, buffer.length);
                 return true;
             }
             filled += read;
         }
     }
 
+    /** Finds the bounds of the line's name and fields. */
     private void split() {
-        int at = start;
-        while (at < end && buffer[at] != ' ') {
-            at++;
-        }
-        nameEnd = at;
-        fields = 0;
-        while (at < end) {
-            int key = at + 1;
-            int equals = key;
-            while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
-                equals++;
+        int pos = lineStart;
+        while (pos < lineEnd && buffer[pos] != ' ') {
+            pos++;
+        }
+        nameEnd = pos;
+        fieldCount = 0;
+        while (pos < lineEnd) {
+            int key = pos + 1;
+            int equalsPos = key;
+            while (equalsPos < lineEnd && buffer[equalsPos] != '=' && buffer[equalsPos] != ' ') {
+                equalsPos++;
             }
-            at = equals;
-            while (at < end && buffer[at] != ' ') {
-                at++;
+            pos = equalsPos;
+            while (pos < lineEnd && buffer[pos] != ' ') {
+                pos++;
             }
-            if (fields == keyStart.length) {
-                keyStart = Arrays.copyOf(keyStart, 2 * fields);
-                valueStart = Arrays.copyOf(valueStart, 2 * fields);
-                valueEnd = Arrays.copyOf(valueEnd, 2 * fields);
+            if (fieldCount == keyStart.length) {
+                keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
+                valueStart = Arrays.copyOf(valueStart, 2 * fieldCount);
+                valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
             }
-            keyStart[fields] = key;
-            valueStart[fields] = Math.min(equals + 1, at);
-            valueEnd[fields] = at;
-            fields++;
+            keyStart[fieldCount] = key;
+            valueStart[fieldCount] = Math.min(equalsPos + 1, pos);
+            valueEnd[fieldCount] = pos;
+            fieldCount++;
         }
     }
 
+    /** The first word of the line. */
     String name() {
-        return new String(buffer, start, nameEnd - start, StandardCharsets.UTF_8);
+        return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
+    /** Whether the line has this name. */
     boolean is(String name) {
-        return matches(start, nameEnd, name);
+        return matches(lineStart, nameEnd, name);
     }
 
     int fieldCount() {
-        return fields;
+        return fieldCount;
     }
 
+    /** The key of a field, by its position in the line from 0 on. */
     String key(int field) {
         int from = keyStart[field];
         return new String(buffer, from, Math.max(0, valueStart[field] - 1 - from), StandardCharsets.UTF_8);
     }
 
+    /** The text of a field, by its position in the line from 0 on. */
     String value(int field) {
         int from = valueStart[field];
         return new String(buffer, from, valueEnd[field] - from, StandardCharsets.UTF_8);
@@ -128,8 +140,9 @@
         return true;
     }
 
-    private int find(String key) {
-        for (int i = 0; i < fields; i++) {
+    /** The position of the first field with this key, or -1. */
+    private int findField(String key) {
+        for (int i = 0; i < fieldCount; i++) {
             if (valueStart[i] > keyStart[i] && matches(keyStart[i], valueStart[i] - 1, key)) {
                 return i;
             }
@@ -137,54 +150,55 @@
         return -1;
     }
 
-    private int need(String key) throws WireException {
-        int field = find(key);
+    private int requireField(String key) throws WireException {
+        int field = findField(key);
         if (field < 0) {
             throw bad(key, "is missing");
         }
         return field;
     }
 
-    /** A field's text, or null if it is left out. */
+    /** The text of a field, or null if the line has no such field. */
     String textOrNull(String key) {
-        int field = find(key);
+        int field = findField(key);
         return field < 0 ? null : value(field);
     }
 
     String text(String key) throws WireException {
-        return value(need(key));
+        return value(requireField(key));
     }
 
     long whole(String key) throws WireException {
-        return whole(key, need(key));
+        return whole(key, requireField(key));
     }
 
-    long whole(String key, long otherwise) throws WireException {
-        int field = find(key);
-        return field < 0 ? otherwise : whole(key, field);
+    long whole(String key, long defaultValue) throws WireException {
+        int field = findField(key);
+        return field < 0 ? defaultValue : whole(key, field);
     }
 
     private long whole(String key, int field) throws WireException {
-        int at = valueStart[field];
-        int to = valueEnd[field];
-        boolean minus = at < to && buffer[at] == '-';
-        at += minus ? 1 : 0;
-        if (at == to || to - at > 18) {
+        int pos = valueStart[field];
+        int valueLimit = valueEnd[field];
+        boolean negative = pos < valueLimit && buffer[pos] == '-';
+        pos += negative ? 1 : 0;
+        if (pos == valueLimit || valueLimit - pos > 18) {
             throw bad(key, "is not a whole number");
         }
         long value = 0;
-        for (; at < to; at++) {
-            int digit = buffer[at] - '0';
+        for (; pos < valueLimit; pos++) {
+            int digit = buffer[pos] - '0';
             if (digit < 0 || digit > 9) {
                 throw bad(key, "is not a whole number");
             }
             value = 10 * value + digit;
         }
-        return minus ? -value : value;
+        return negative ? -value : value;
     }
 
+    /** A boolean, 1 or true, 0 or false; false if the line has no such field. */
     boolean flag(String key) throws WireException {
-        int field = find(key);
+        int field = findField(key);
         if (field < 0 || matches(valueStart[field], valueEnd[field], "0")
                 || matches(valueStart[field], valueEnd[field], "false")) {
             return false;
@@ -196,9 +210,9 @@
         throw bad(key, "is neither 1 nor 0: " + value(field));
     }
 
-    double decimal(String key, double otherwise) throws WireException {
-        int field = find(key);
-        return field < 0 ? otherwise : decimal(key, value(field));
+    double decimal(String key, double defaultValue) throws WireException {
+        int field = findField(key);
+        return field < 0 ? defaultValue : decimal(key, value(field));
     }
 
     private double decimal(String key, String text) throws WireException {
@@ -209,29 +223,29 @@
         }
     }
 
-    /** Numbers parted by commas, or null if the field is left out. */
+    /** Comma-separated numbers, or null if the field is empty or missing. */
     double[] row(String key) throws WireException {
-        int field = find(key);
+        int field = findField(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
             return null;
         }
-        String[] parts = value(field).split(",", -1);
-        double[] row = new double[parts.length];
-        for (int i = 0; i < parts.length; i++) {
-            row[i] = decimal(key, parts[i]);
+        String[] items = value(field).split(",", -1);
+        double[] values = new double[items.length];
+        for (int i = 0; i < items.length; i++) {
+            values[i] = decimal(key, items[i]);
         }
-        return row;
+        return values;
     }
 
-    /** A request id: 16 hex digits. */
+    /** A request id: 16 lower-case hex digits. */
     long id(String key) throws WireException {
-        int field = need(key);
+        int field = requireField(key);
         if (valueEnd[field] - valueStart[field] != 16) {
             throw bad(key, "is not 16 hex digits");
         }
         long id = 0;
-        for (int at = valueStart[field]; at < valueEnd[field]; at++) {
-            int b = buffer[at];
+        for (int pos = valueStart[field]; pos < valueEnd[field]; pos++) {
+            int b = buffer[pos];
             int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
             if (digit < 0) {
                 throw bad(key, "is not 16 hex digits");
@@ -241,11 +255,13 @@
         return id;
     }
 
+    /** An error about one field of the current line. */
     WireException bad(String field, String reason) {
-        return new WireException("line " + number + ": " + name() + ": field " + field + " " + reason);
+        return new WireException("line " + lineNumber + ": " + name() + ": field " + field + " " + reason);
     }
 
+    /** An error about the current line. */
     WireException bad(String reason) {
-        return new WireException("line " + number + ": " + reason);
+        return new WireException("line " + lineNumber + ": " + reason);
     }
 }
--- a/src/main/java/cedarrelay/benchlink/Link.java
+++ b/src/main/java/cedarrelay/benchlink/Link.java
@@ -18,45 +18,53 @@
 import cedarrelay.Balancer.Settings;
 import cedarrelay.ServiceQBalancer;
 
-/** Carries events from the wire to the instances and their actions back. It decides nothing. */
+/**
+ * The adapter between a simulator and the balancer: reads batches of events from the simulator's line
+ * protocol, calls the balancer instance of the node that each event names, and writes the instances' actions
+ * back after each batch. It makes no decisions of its own.
+ */
 final class Link {
-    private static final int MOST_ROSTERS = 16;
+    private static final int MAX_ROSTERS = 16;
 
-    /** One node's module with what is needed to translate for it. */
+    /** The balancer of one simulated node, with the indices of the names in its settings. */
     private record Instance(Balancer balancer, Map<String, Integer> classes, Map<String, Integer> tenants,
             Map<String, Integer> zones) { }
 
-    /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
-    private record RosterLine(String id, String zone, int cell, ServerState state, double weight,
-            long startedAt) { }
+    /** A server of a roster. The zone is a name, since each instance numbers zones by its own settings. */
+    private record RosterEntry(String id, String zone, int cell, ServerState state, double weight,
+            long startedAtUs) { }
 
     private final Line line;
     private final Reply reply;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<RosterLine>> rosters = new ArrayList<>();
-    private long now;
+    private final List<List<RosterEntry>> rosters = new ArrayList<>();
+    private long nowUs;
 
     Link(InputStream in, OutputStream out) {
         line = new Line(in);
         reply = new Reply(out);
-        for (int i = 0; i < MOST_ROSTERS; i++) {
+        for (int i = 0; i < MAX_ROSTERS; i++) {
             rosters.add(null);
         }
     }
 
-    /** Answers batch after batch until the input ends. */
+    /**
+     * Processes batches until the input ends.
+     *
+     * @throws WireException if the input is malformed
+     */
     void run() throws IOException, WireException {
         while (line.next()) {
             if (line.name().isEmpty()) {
                 continue;
             }
             if (!line.is("begin_batch")) {
-                throw line.bad("a batch must open with begin_batch, not " + line.name());
+                throw line.bad("a batch must start with begin_batch, not " + line.name());
             }
-            now = line.whole("timeUs");
+            nowUs = line.whole("timeUs");
             nextLine();
             while (!line.is("eob")) {
-                event();
+                handleEvent();
                 nextLine();
             }
             reply.flush();
@@ -69,15 +77,15 @@
         }
     }
 
-    private void event() throws IOException, WireException {
+    private void handleEvent() throws IOException, WireException {
         if (line.is("roster")) {
-            roster();
+            readRoster();
             return;
         }
         String node = line.text("node");
         reply.actFor(node);
         if (line.is("boot")) {
-            boot(node);
+            startInstance(node);
             return;
         }
         Instance instance = instances.get(node);
@@ -88,7 +96,7 @@
             instances.remove(node);
             return;
         }
-        Runnable call = translate(instance);
+        Runnable call = toBalancerCall(instance);
         try {
             call.run();
         } catch (RuntimeException e) {
@@ -97,43 +105,45 @@
         }
     }
 
-    private Runnable translate(Instance to) throws WireException {
-        Balancer balancer = to.balancer;
-        long at = now;
+    /** Parses the current event completely before the balancer is called. */
+    private Runnable toBalancerCall(Instance instance) throws WireException {
+        Balancer balancer = instance.balancer;
+        long atUs = nowUs;
         if (line.is("resolved")) {
             Outcome outcome = new Outcome(line.id("handle"), (int) line.whole("seqNo"), result(),
                     line.whole("latencyUs", 0), line.flag("ended"), line.row("metrics"));
-            return () -> balancer.onOutcome(at, outcome);
+            return () -> balancer.onOutcome(atUs, outcome);
         }
         if (line.is("work_item")) {
             String tenant = line.textOrNull("realm");
-            boolean anyTenant = tenant != null && !tenant.equals("0");
-            Request request = new Request(line.id("handle"), index(to.classes, "lane", line.text("lane")),
-                    anyTenant ? index(to.tenants, "realm", tenant) : -1, line.whole("patienceLeftUs"),
+            boolean hasTenant = tenant != null && !tenant.equals("0");
+            Request request = new Request(line.id("handle"),
+                    indexOf(instance.classes, "lane", line.text("lane")),
+                    hasTenant ? indexOf(instance.tenants, "realm", tenant) : -1, line.whole("patienceLeftUs"),
                     line.whole("workUs", 0), line.flag("resent"));
-            return () -> balancer.onRequest(at, request);
+            return () -> balancer.onRequest(atUs, request);
         }
         if (line.is("bell")) {
-            return () -> balancer.onWake(at);
+            return () -> balancer.onWake(atUs);
         }
         if (line.is("topology")) {
-            return topology(to);
+            return toListCall(instance);
         }
         if (line.is("client_gone")) {
             long id = line.id("handle");
-            return () -> balancer.onClientGone(at, id);
+            return () -> balancer.onClientGone(atUs, id);
         }
         if (line.is("first_byte")) {
             long id = line.id("handle");
             int attempt = (int) line.whole("seqNo");
-            return () -> balancer.onFirstByte(at, id, attempt);
+            return () -> balancer.onFirstByte(atUs, id, attempt);
         }
         if (line.is("echo")) {
             String server = line.text("server");
             Result result = result();
-            long latency = line.whole("latencyUs", 0);
+            long latencyUs = line.whole("latencyUs", 0);
             double[] report = line.row("metrics");
-            return () -> balancer.onProbe(at, server, result, latency, report);
+            return () -> balancer.onProbe(atUs, server, result, latencyUs, report);
         }
         if (line.is("memo")) {
             return () -> { };
@@ -141,7 +151,8 @@
         throw line.bad("unknown event " + line.name());
     }
 
-    private void boot(String node) throws WireException {
+    /** Starts an instance with the settings in the fields of the line. */
+    private void startInstance(String node) throws WireException {
         long seed = line.whole("initSeed");
         Map<String, String> values = new HashMap<>();
         for (int i = 0; i < line.fieldCount(); i++) {
@@ -167,17 +178,18 @@
         }
     }
 
-    private void roster() throws IOException, WireException {
+    /** Reads a list of servers, to which later topology events refer by its number. */
+    private void readRoster() throws IOException, WireException {
         int number = rosterNumber();
-        long count = line.whole("nodesList", 0);
-        List<RosterLine> entries = new ArrayList<>();
-        for (long i = 0; i < count; i++) {
+        long serverCount = line.whole("nodesList", 0);
+        List<RosterEntry> entries = new ArrayList<>();
+        for (long i = 0; i < serverCount; i++) {
             nextLine();
             if (!line.is("server")) {
-                throw line.bad("a roster's line must be server, not " + line.name());
+                throw line.bad("a line of a roster must be server, not " + line.name());
             }
             String state = line.text("lifecycle");
-            entries.add(new RosterLine(line.text("server"), line.textOrNull("site"),
+            entries.add(new RosterEntry(line.text("server"), line.textOrNull("site"),
                     (int) line.whole("block", 0),
                     switch (state) {
                         case "Running" -> ServerState.READY;
@@ -191,17 +203,18 @@
 
     private int rosterNumber() throws WireException {
         long number = line.whole("setId");
-        if (number < 0 || number >= MOST_ROSTERS) {
-            throw line.bad("setId", "is not from 0 to " + (MOST_ROSTERS - 1));
+        if (number < 0 || number >= MAX_ROSTERS) {
+            throw line.bad("setId", "is not from 0 to " + (MAX_ROSTERS - 1));
         }
         return (int) number;
     }
 
-    private Runnable topology(Instance to) throws WireException {
-        long at = now;
+    /** The call for a new server list, or for a list request that failed. */
+    private Runnable toListCall(Instance instance) throws WireException {
+        long atUs = nowUs;
         String kind = line.text("kind");
         if (kind.equals("broken")) {
-            return () -> to.balancer.onListFailed(at);
+            return () -> instance.balancer.onListFailed(atUs);
         }
         ListKind listKind = switch (kind) {
             case "patch" -> ListKind.CHANGES;
@@ -209,19 +222,19 @@
             case "stale_copy" -> ListKind.CACHED;
             default -> throw line.bad("kind", "is unknown: " + kind);
         };
-        List<RosterLine> roster = rosters.get(rosterNumber());
+        List<RosterEntry> roster = rosters.get(rosterNumber());
         if (roster == null) {
             throw line.bad("setId", "names a roster that was never given");
         }
         List<ServerEntry> entries = new ArrayList<>(roster.size());
-        for (RosterLine entry : roster) {
-            entries.add(new ServerEntry(entry.id, to.zones.getOrDefault(entry.zone, -1), entry.cell,
-                    entry.state, entry.weight, entry.startedAt));
+        for (RosterEntry entry : roster) {
+            entries.add(new ServerEntry(entry.id, instance.zones.getOrDefault(entry.zone, -1), entry.cell,
+                    entry.state, entry.weight, entry.startedAtUs));
         }
-        return () -> to.balancer.onServers(at, listKind, entries);
+        return () -> instance.balancer.onServers(atUs, listKind, entries);
     }
 
-    private int index(Map<String, Integer> names, String field, String name) throws WireException {
+    private int indexOf(Map<String, Integer> names, String field, String name) throws WireException {
         Integer index = names.get(name);
         if (index == null) {
             throw line.bad(field, "is not in the settings: " + name);
@@ -229,6 +242,7 @@
         return index;
     }
 
+    /** The result that the line's numeric code stands for. */
     private Result result() throws WireException {
         long code = line.whole("rc");
         return switch ((int) code) {
--- a/src/main/java/cedarrelay/benchlink/Main.java
+++ b/src/main/java/cedarrelay/benchlink/Main.java
@@ -4,13 +4,13 @@
 import java.io.FileDescriptor;
 import java.io.IOException;
 
-/** Hosts instances of the module for the bench: the wire on standard input and output, nothing else there. */
+/** Runs the balancer for a simulator, with the line protocol on standard input and standard output. */
 public final class Main {
     private Main() { }
 
     /**
-     * Runs until the input ends; a malformed input ends it with one line on standard error and exit
-     * code 2.
+     * Runs until the input ends. Malformed input or an I/O error ends the process with one line on standard
+     * error and exit code 2. Standard output carries nothing but the protocol.
      */
     public static void main(String[] args) {
         try {
--- a/src/main/java/cedarrelay/benchlink/Reply.java
+++ b/src/main/java/cedarrelay/benchlink/Reply.java
@@ -7,9 +7,12 @@
 
 import cedarrelay.Balancer;
 
-/** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
+/**
+ * Collects the actions of the balancer instances in the simulator's line protocol. The reply to a batch is
+ * buffered and written by {@link #flush}, so malformed input never leaves a partial reply.
+ */
 final class Reply implements Balancer.Actions {
-    private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
     private final OutputStream out;
     private byte[] buffer = new byte[1 << 16];
@@ -20,12 +23,14 @@
         this.out = out;
     }
 
+    /** Sets the node that the following actions belong to. */
     void actFor(String instance) {
         node = instance;
     }
 
+    /** Writes the reply to the current batch. */
     void flush() throws IOException {
-        text("next\n");
+        writeText("next\n");
         out.write(buffer, 0, filled);
         out.flush();
         filled = 0;
@@ -33,138 +38,139 @@
 
     @Override
     public void send(long requestId, String serverId, long untilUs, long sendByUs) {
-        open("route");
-        handle(requestId);
-        text(" server=");
-        text(serverId);
-        text(" untilUs=");
-        number(untilUs);
-        close();
+        beginAction("route");
+        writeRequestId(requestId);
+        writeText(" server=");
+        writeText(serverId);
+        writeText(" untilUs=");
+        writeNumber(untilUs);
+        endAction();
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        open("abort_attempt");
-        handle(requestId);
-        text(" seqNo=");
-        number(attempt);
-        close();
+        beginAction("abort_attempt");
+        writeRequestId(requestId);
+        writeText(" seqNo=");
+        writeNumber(attempt);
+        endAction();
     }
 
     @Override
     public void refuse(long requestId, long retryAfterUs) {
-        open("decline");
-        handle(requestId);
+        beginAction("decline");
+        writeRequestId(requestId);
         if (retryAfterUs > 0) {
-            text(" retryInUs=");
-            number(retryAfterUs);
+            writeText(" retryInUs=");
+            writeNumber(retryAfterUs);
         }
-        close();
+        endAction();
     }
 
     @Override
     public void fail(long requestId) {
-        open("lose");
-        handle(requestId);
-        close();
+        beginAction("lose");
+        writeRequestId(requestId);
+        endAction();
     }
 
     @Override
     public void wakeAt(long atUs) {
-        open("remind");
-        text(" dueAtUs=");
-        number(atUs);
-        text(" label=w");
-        close();
+        beginAction("remind");
+        writeText(" dueAtUs=");
+        writeNumber(atUs);
+        writeText(" label=w");
+        endAction();
     }
 
     @Override
     public void probe(String serverId) {
-        open("sound_out");
-        text(" server=");
-        text(serverId);
-        close();
+        beginAction("sound_out");
+        writeText(" server=");
+        writeText(serverId);
+        endAction();
     }
 
     @Override
     public void subscribe() {
-        open("track");
-        text(" want=1");
-        close();
+        beginAction("track");
+        writeText(" want=1");
+        endAction();
     }
 
     @Override
     public void log(String line) {
-        open("record");
-        note(line);
+        beginAction("record");
+        writeNoteText(line);
     }
 
-    /** The module has thrown: the day ends with this text. */
-    void fault(String line) {
-        open("fault");
-        note(line);
+    /** Reports an exception of the balancer; the simulator ends its run with this text. */
+    void fault(String message) {
+        beginAction("fault");
+        writeNoteText(message);
     }
 
-    private void note(String line) {
-        text(" noteText=");
-        text(line.replace('\n', ' ').replace('\r', ' '));
-        close();
+    private void writeNoteText(String message) {
+        writeText(" noteText=");
+        writeText(message.replace('\n', ' ').replace('\r', ' '));
+        endAction();
     }
 
-    private void open(String action) {
-        text(action);
-        text(" node=");
-        text(node);
+    private void beginAction(String action) {
+        writeText(action);
+        writeText(" node=");
+        writeText(node);
     }
 
-    private void close() {
-        room(1);
+    private void endAction() {
+        ensureCapacity(1);
         buffer[filled++] = '\n';
     }
 
-    private void handle(long id) {
-        text(" handle=");
-        room(16);
+    private void writeRequestId(long id) {
+        writeText(" handle=");
+        ensureCapacity(16);
         for (int shift = 60; shift >= 0; shift -= 4) {
-            buffer[filled++] = HEX[(int) (id >>> shift) & 15];
+            buffer[filled++] = HEX_DIGITS[(int) (id >>> shift) & 15];
         }
     }
 
-    private void text(String text) {
+    private void writeText(String text) {
         int length = text.length();
-        room(3 * length);
+        ensureCapacity(3 * length);
         for (int i = 0; i < length; i++) {
-            char c = text.charAt(i);
-            if (c >= 128) {
-                byte[] rest = text.substring(i).getBytes(StandardCharsets.UTF_8);
-                System.arraycopy(rest, 0, buffer, filled, rest.length);
-                filled += rest.length;
+            char character = text.charAt(i);
+            if (character >= 128) {
+                byte[] encoded = text.substring(i).getBytes(StandardCharsets.UTF_8);
+                System.arraycopy(encoded, 0, buffer, filled, encoded.length);
+                filled += encoded.length;
                 return;
             }
-            buffer[filled++] = (byte) c;
+            buffer[filled++] = (byte) character;
         }
     }
 
-    private void number(long value) {
+    /** Formats non-negative numbers without allocation. */
+    private void writeNumber(long value) {
         if (value < 0) {
-            text(Long.toString(value));
+            writeText(Long.toString(value));
             return;
         }
-        room(20);
+        ensureCapacity(20);
         int digits = 1;
-        for (long v = value; v >= 10; v /= 10) {
+        for (long remaining = value; remaining >= 10; remaining /= 10) {
             digits++;
         }
-        int at = filled + digits;
-        filled = at;
-        long v = value;
+        int pos = filled + digits;
+        filled = pos;
+        long remaining = value;
         do {
-            buffer[--at] = (byte) ('0' + v % 10);
-            v /= 10;
-        } while (v > 0);
+            buffer[--pos] = (byte) ('0' + remaining % 10);
+            remaining /= 10;
+        } while (remaining > 0);
     }
 
-    private void room(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (filled + bytes > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, filled + bytes));
         }
--- a/src/main/java/cedarrelay/benchlink/WireException.java
+++ b/src/main/java/cedarrelay/benchlink/WireException.java
@@ -1,6 +1,6 @@
 package cedarrelay.benchlink;
 
-/** The input is not what the wire allows; the message is one plain line for the operator. */
+/** The input violates the simulator's line protocol. The message is one line for the operator. */
 final class WireException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/test/java/cedarrelay/benchlink/LinkTest.java
+++ b/src/test/java/cedarrelay/benchlink/LinkTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on small pieces of the wire. */
+/** The adapter on short inputs in the simulator's line protocol. */
 class LinkTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
@@ -34,12 +34,12 @@
     }
 
     @Test
-    void anEmptyBatchAndTheEndOfInput() throws Exception {
+    void emptyBatchIsAnsweredAndEndOfInputEndsTheRun() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob\n"));
     }
 
     @Test
-    void aRequestIsRoutedAndItsIdGivenBackUnchanged() throws Exception {
+    void requestIsRoutedWithItsIdUnchanged() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + "eob\n");
         assertTrue(reply.contains("route node=node-3 handle=b7c6f2075d3a91c4"
                 + " server=10.0.0.7:8003 untilUs=1240000\n"),
@@ -48,14 +48,14 @@
     }
 
     @Test
-    void anOutcomeEndsARequestAndAFailureFollowsTheModule() throws Exception {
+    void outcomeOfAnAttemptReachesTheBalancerWhichDeclinesTheRequest() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), reply);
     }
 
     @Test
-    void aRefusalBringsAdviceAlsoWhereTheSiteDoesNotPassItOn() throws Exception {
+    void declineCarriesRetryAdviceEvenIfTheSiteDoesNotForwardIt() throws Exception {
         String boot = BOOT.replace("\n", " limits.retryAfter=false limits.maxRetryAfterUs=750000\n");
         String reply = run(OPEN + boot + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
@@ -82,35 +82,36 @@
         "B;roster setId=0 nodesList=1;server server=a lifecycle=Odd;eob | lifecycle",
         "begin_batch timeUs=1;boot node=n initSeed=1 classes.count=1;eob | classes.0.",
         "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"})
-    void malformedInputIsNamedByLineAndFieldAndNothingIsWritten(String lines, String named) {
+    void malformedInputIsReportedByLineAndFieldWithoutAReply(String lines, String expected) {
         String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
         WireException e = assertThrows(WireException.class, () -> run(input));
-        assertTrue(e.getMessage().contains(named.trim()), e.getMessage());
+        assertTrue(e.getMessage().contains(expected.trim()), e.getMessage());
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertEquals(-1, e.getMessage().indexOf('\n'));
         assertEquals(0, out.size());
     }
 
     @Test
-    void anExceptionInTheModuleIsReportedAsAFault() throws Exception {
+    void exceptionInTheBalancerIsReportedAsAFault() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
         assertTrue(reply.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), reply);
         assertTrue(reply.endsWith("next\n"));
     }
 
     @Test
-    void aLineWithoutItsEndIsStillRead() throws Exception {
+    void lastLineWithoutNewlineIsRead() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob"));
     }
 
     @Test
-    void instancesActAlikeAloneAndTogether() throws Exception {
-        String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void instanceActsTheSameAloneAndBesideAnother() throws Exception {
+        String alone = run(OPEN + BOOT + LIST + ITEM + "eob\n");
         out.reset();
-        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5")
+        String together = run(OPEN + BOOT.replace("node-3", "node-5")
+                + LIST.replace("node=node-3", "node=node-5")
                 + BOOT + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
-        StringBuilder own = new StringBuilder();
-        both.lines().filter(l -> !l.contains("node-5")).forEach(l -> own.append(l).append('\n'));
-        assertEquals(one, own.toString());
+        StringBuilder ownActions = new StringBuilder();
+        together.lines().filter(l -> !l.contains("node-5")).forEach(l -> ownActions.append(l).append('\n'));
+        assertEquals(alone, ownActions.toString());
     }
 }
