--- a/src/test/java/cedarrelay/ColdServerTest.java
+++ b/src/test/java/cedarrelay/ColdServerTest.java
@@ -13,145 +13,158 @@
 import cedarrelay.Balancer.ServerEntry;
 import cedarrelay.Balancer.ServerState;
 
-/** Rule 4: a node's part of a cold server's budget. */
+/** Tests slow start: how much a node sends to a server that has just started. */
 class ColdServerTest {
 
-    private static ServerEntry started(String id, long atUs) {
-        return new ServerEntry(id, 0, 0, ServerState.READY, 1, atUs);
+    private static ServerEntry serverStartedAt(String id, long startedAtUs) {
+        return new ServerEntry(id, 0, 0, ServerState.READY, 1, startedAtUs);
     }
 
     @Test
-    void aColdServerGetsAtMostItsShareOfAnEvenPartEvenWhenClientsAskManyTimesOver() {
-        Node node = new Node().with(4);
+    void aServerInSlowStartGetsNoMoreThanItsBudgetHoweverOftenClientsRetry() {
+        Node node = new Node().withServers(4);
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
         }
-        node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
-        // 100 answers a second from five servers: an even part is 20 a second, a fifth of which a cold
-        // one can do.
+        node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
+        // The servers complete 100 requests a second: each of five would get 20, and a server in slow start
+        // has a fifth of its capacity.
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                burst.add(node.ask(Node.SAFE));
+                burst.add(node.submit(Node.SAFE));
             }
-            node.advance(10_000);
-            // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
-            burst.stream().map(node::last).filter(s -> s != null && !s.server().equals("cold")).findFirst()
-                    .ifPresent(s -> node.answer(s.request(), Result.OK, 0));
+            node.advanceClock(10_000);
+            // Only one of ten is completed: ten times as many requests arrive as the servers complete.
+            burst.stream().map(node::latestAttempt)
+                    .filter(attempt -> attempt != null && !attempt.serverId().equals("new")).findFirst()
+                    .ifPresent(attempt -> node.completeAttempt(attempt.requestId(), Result.OK, 0));
         }
-        long toCold = node.sentTo("cold");
-        assertTrue(toCold >= 1 && toCold <= 16, "sent to the cold server in two seconds: " + toCold);
+        long sentToNewServer = node.attemptsTo("new");
+        assertTrue(sentToNewServer >= 1 && sentToNewServer <= 16,
+                "requests sent to the new server in two seconds: " + sentToNewServer);
     }
 
-    /** What a cold server among four of such a weight is sent in two seconds, of 100 answers a second. */
-    private static long sentToColdAmong(double weight) {
-        Node node = new Node().with(4);
-        node.list(ListKind.CHANGES, List.of("s0", "s1", "s2", "s3").stream()
-                .map(id -> new ServerEntry(id, 0, 0, ServerState.READY, weight, 0)).toList());
+    /**
+     * How many of 200 requests in two seconds a server in slow start gets that has weight 1 and joins four
+     * servers of weight {@code otherWeight}.
+     */
+    private static long sentToNewServerAmong(double otherWeight) {
+        Node node = new Node().withServers(4);
+        node.updateServers(ListKind.CHANGES, List.of("s0", "s1", "s2", "s3").stream()
+                .map(id -> new ServerEntry(id, 0, 0, ServerState.READY, otherWeight, 0)).toList());
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
         }
-        node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+        node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
         for (int i = 0; i < 200; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
         }
-        return node.sentTo("cold");
+        return node.attemptsTo("new");
     }
 
     @Test
-    void aColdServersPartDoesNotGrowAsTheListLowersTheWeightsOfTheBusy() {
-        // Live weights: the busy ones weigh a tenth of their size, the cold one, still empty, all of its own.
-        long amongBusy = sentToColdAmong(0.1);
-        // A fifth of 100 a second, a fifth of which it can do at first, times two seconds and the rule's
-        // three: 24 and, as it warms, a little more would push it over.
-        assertTrue(amongBusy >= 10 && amongBusy <= 24, "sent in two seconds: " + amongBusy);
+    void theBudgetOfSlowStartDoesNotGrowWhenTheListLowersTheWeightsOfBusyServers() {
+        // The list lowers weights with load: those of busy servers to a tenth, that of the idle one not.
+        long sentAmongBusyServers = sentToNewServerAmong(0.1);
+        // A fifth of 100 requests a second, a fifth of which it can serve at first, for two seconds, times
+        // fallMultiple (three): 24 and, as it warms up, a little more would overload it.
+        assertTrue(sentAmongBusyServers >= 10 && sentAmongBusyServers <= 24,
+                "requests sent to the new server in two seconds: " + sentAmongBusyServers);
     }
 
     @Test
-    void aNodeThatHasJustStartedDoesNotFloodAColdServer() {
+    void aNodeThatHasJustStartedDoesNotFloodAServerInSlowStart() {
         Node node = new Node();
-        node.list(ListKind.CACHED, List.of(started("cold", node.now - 100_000), Node.server("warm")));
+        node.updateServers(ListKind.CACHED, List.of(serverStartedAt("new", node.nowUs - 100_000),
+                Node.readyServer("warm")));
         for (int i = 0; i < 200; i++) {
-            node.ask(Node.SAFE);
-            node.advance(1_000);
+            node.submit(Node.SAFE);
+            node.advanceClock(1_000);
         }
-        long toCold = node.sentTo("cold");
-        assertTrue(toCold <= 2, "sent to the cold server in 0.2 s: " + toCold);
+        long sentToNewServer = node.attemptsTo("new");
+        assertTrue(sentToNewServer <= 2, "requests sent to the new server in 0.2 s: " + sentToNewServer);
     }
 
     @Test
     void slowStartDoesNotDependOnWhereTheClockBegins() {
-        // Guards against a first gap between answers that was counted from the start of the clock.
-        List<Long> sentToCold = new ArrayList<>();
-        for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
+        // Guards against counting the gap before the first response from the zero of the clock.
+        List<Long> sentToNewServer = new ArrayList<>();
+        for (long startUs : new long[] {1_000_000, 900_000_000_000L}) {
             Node node = new Node();
-            node.now = epoch;
-            node.with(3);
+            node.nowUs = startUs;
+            node.withServers(3);
             for (int i = 0; i < 100; i++) {
-                node.serve(Node.SAFE, Result.OK, 10_000);
+                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
             }
-            node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+            node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
             for (int i = 0; i < 300; i++) {
-                node.serve(Node.SAFE, Result.OK, 10_000);
+                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
             }
-            sentToCold.add(node.sentTo("cold"));
+            sentToNewServer.add(node.attemptsTo("new"));
         }
-        assertEquals(sentToCold.get(0), sentToCold.get(1));
-        assertTrue(sentToCold.get(0) > 1, "sent to the cold server in three seconds: " + sentToCold.get(0));
+        assertEquals(sentToNewServer.get(0), sentToNewServer.get(1));
+        assertTrue(sentToNewServer.get(0) > 1,
+                "requests sent to the new server in three seconds: " + sentToNewServer.get(0));
     }
 
     @Test
-    void aColdServersLimitDoesNotGrowPastTheOthersWhileOnlySlowStartHoldsItBack() {
-        // Guards i3a094a: quick answers to single requests raised limits that choked servers once warm.
-        Balancer.Settings set = Node.settings();
-        set.nodes = 8;
-        Node node = new Node(set, 5);
-        node.list(ListKind.CACHED, List.of(started("cold", node.now), Node.server("warm")));
-        long warmAt = node.now + set.coldUs;
-        int answered = 0;
-        while (node.now < warmAt) {
+    void duringSlowStartAServersConcurrencyLimitDoesNotGrowPastThoseOfOthers() {
+        // Guards against a server that is overloaded once it is warm: during slow start it gets single
+        // requests and is fast with them, which raised its concurrency limit too far.
+        Balancer.Settings settings = Node.settings();
+        settings.nodes = 8;
+        Node node = new Node(settings, 5);
+        node.updateServers(ListKind.CACHED, List.of(serverStartedAt("new", node.nowUs),
+                Node.readyServer("warm")));
+        long warmAtUs = node.nowUs + settings.coldUs;
+        int completed = 0;
+        while (node.nowUs < warmAtUs) {
             for (int i = 0; i < 3; i++) {
-                node.ask(Node.SAFE);
+                node.submit(Node.SAFE);
             }
-            for (; answered < node.sent.size(); answered++) {
-                Node.Sent sent = node.sent.get(answered);
-                node.answer(sent.request(), Result.OK, sent.server().equals("cold") ? 10_000 : 150_000);
+            for (; completed < node.sent.size(); completed++) {
+                Node.SentAttempt attempt = node.sent.get(completed);
+                node.completeAttempt(attempt.requestId(), Result.OK,
+                        attempt.serverId().equals("new") ? 10_000 : 150_000);
             }
-            node.advance(50_000);
+            node.advanceClock(50_000);
         }
-        node.advance(3_000_000);
-        long before = node.sentTo("cold");
+        node.advanceClock(3_000_000);
+        long sentBefore = node.attemptsTo("new");
         for (int i = 0; i < 20; i++) {
-            node.ask(Node.SAFE);
+            node.submit(Node.SAFE);
         }
-        long atOnce = node.sentTo("cold") - before;
-        assertTrue(atOnce <= 1, "sent at once to the server that is now warm: " + atOnce);
+        long sentAtOnce = node.attemptsTo("new") - sentBefore;
+        assertTrue(sentAtOnce <= 1, "requests sent at once to the server that is now warm: " + sentAtOnce);
     }
 
     @Test
-    void manyNodesThatLearnOfAStartAtOnceDoNotTogetherPushTheServerOver() {
-        // Guards icd7515: each node's first request to a cold server went out as soon as it was drawn.
-        Balancer.Settings set = Node.settings();
-        set.nodes = 100;
-        set.coldFrom = 0.2;
-        set.coldUs = 20_000_000;
-        int toCold = 0;
-        for (int n = 0; n < set.nodes; n++) {
-            Node node = new Node(set, n);
-            node.with(10);
-            // Two requests a second: all nodes together give each of ten servers twenty.
+    void manyNodesNotifiedOfANewServerAtOnceDoNotTogetherOverloadIt() {
+        // Guards against nodes that all send their first request to a new server as soon as it is picked:
+        // together these first requests overloaded it.
+        Balancer.Settings settings = Node.settings();
+        settings.nodes = 100;
+        settings.coldFrom = 0.2;
+        settings.coldUs = 20_000_000;
+        int sentToNewServer = 0;
+        for (int seed = 0; seed < settings.nodes; seed++) {
+            Node node = new Node(settings, seed);
+            node.withServers(10);
+            // Each node gets two requests a second, so that each of ten servers gets twenty from all nodes.
             for (int i = 0; i < 20; i++) {
-                node.serve(Node.SAFE, Result.OK, 10_000);
-                node.advance(490_000);
+                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+                node.advanceClock(490_000);
             }
-            node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
+            node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
             for (int i = 0; i < 4; i++) {
-                node.serve(Node.SAFE, Result.OK, 10_000);
-                node.advance(490_000);
+                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+                node.advanceClock(490_000);
             }
-            toCold += (int) node.sentTo("cold");
+            sentToNewServer += (int) node.attemptsTo("new");
         }
-        // A fifth of 200/11 a second, times two seconds, times the rule's three: 22 at most.
-        assertTrue(toCold >= 1 && toCold <= 22, "sent by all nodes in two seconds: " + toCold);
+        // A fifth of 200/11 requests a second, for two seconds, times fallMultiple (three): 22 at most.
+        assertTrue(sentToNewServer >= 1 && sentToNewServer <= 22,
+                "requests sent by all nodes in two seconds: " + sentToNewServer);
     }
 }
--- a/src/test/java/cedarrelay/FleetTest.java
+++ b/src/test/java/cedarrelay/FleetTest.java
@@ -21,195 +21,215 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Rule 4 over all processes: what cold servers are sent in sum, retries, second copies and probes included.
- * The nodes share nothing, so each is played by itself on the same clock and what they sent is put together.
+ * Tests many nodes that serve the same servers. For slow start, what all nodes together send to the new
+ * servers counts, with retries and probes. Nodes share nothing, so each one is run by itself on the same
+ * clock and the results are added up.
  */
 class FleetTest {
-    private static final long START_US = 12_000_000;
-    private static final long LATENCY_US = 60_000;
-    private static final long PROBE_US = 2_000;
-    /** Lists come to each node a little later or earlier. */
-    private static final int LIST_US = 300_000;
-    /** One answer in so many is an error, after which a repeatable request goes elsewhere. */
-    private static final int ERROR_ONE_IN = 12;
+    private static final long SERVER_START_US = 12_000_000;
+    /** Latencies are spread evenly from half to one and a half of this. */
+    private static final long MEAN_LATENCY_US = 60_000;
+    private static final long PROBE_LATENCY_US = 2_000;
+    /** Each node receives a changed list within this time. */
+    private static final int MAX_LIST_DELAY_US = 300_000;
+    /** One response in this many is an error, after which a safe request is retried elsewhere. */
+    private static final int RESPONSES_PER_ERROR = 12;
 
-    private record Event(long atUs, Runnable run) { }
+    private record Event(long atUs, Runnable action) { }
 
-    /** Processes that share nothing but the clock and the servers, and what the cold ones were sent. */
+    /** Nodes that share only the clock and the servers, and what they sent to the servers in slow start. */
     private static final class Fleet {
-        private final Settings set = new Settings();
+        private final Settings settings = new Settings();
         private final SplittableRandom random = new SplittableRandom(20261202);
         private final int servers;
-        private final int cold;
-        private final List<List<Long>> calls = new ArrayList<>();
+        private final int newServers;
+        /** For each new server the times at which requests and probes were sent to it. */
+        private final List<List<Long>> sendTimesUs = new ArrayList<>();
 
-        private Fleet(int nodes, int servers, int cold) {
+        private Fleet(int nodes, int servers, int newServers) {
             this.servers = servers;
-            this.cold = cold;
-            set.nodes = nodes;
-            set.zones.add("here");
-            set.classes.add(Node.lateCounts().classes.get(Node.SAFE));
-            set.tenants.add(new Tenant("tenant", 0));
-            set.maxAttempts = 4;
-            set.cancel = true;
-            set.probes = true;
-            set.probePrice = 0.0001;
-            set.coldFrom = 0.3;
-            set.coldUs = 9_000_000;
-            set.fallUs = 1_000_000;
-            set.fallMultiple = 2.5;
-            for (int i = 0; i < cold; i++) {
-                calls.add(new ArrayList<>());
+            this.newServers = newServers;
+            settings.nodes = nodes;
+            settings.zones.add("here");
+            settings.classes.add(Node.settingsWithLateUtility().classes.get(Node.SAFE));
+            settings.tenants.add(new Tenant("tenant", 0));
+            settings.maxAttempts = 4;
+            settings.cancel = true;
+            settings.probes = true;
+            settings.probePrice = 0.0001;
+            settings.coldFrom = 0.3;
+            settings.coldUs = 9_000_000;
+            settings.fallUs = 1_000_000;
+            settings.fallMultiple = 2.5;
+            for (int i = 0; i < newServers; i++) {
+                sendTimesUs.add(new ArrayList<>());
             }
         }
 
-        private List<ServerEntry> list(boolean started) {
+        /** The server list before or after the new servers have started. */
+        private List<ServerEntry> serverList(boolean started) {
             List<ServerEntry> list = new ArrayList<>();
             for (int i = 0; i < servers; i++) {
-                boolean fresh = i < cold;
-                if (started || !fresh) {
-                    list.add(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1, fresh ? START_US : 0));
+                boolean isNew = i < newServers;
+                if (started || !isNew) {
+                    list.add(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1,
+                            isNew ? SERVER_START_US : 0));
                 }
             }
             return list;
         }
 
-        /** Plays one process from its start to when the cold servers are warm. */
-        private void play(long beginUs, double perSecond) {
-            Node node = new Node(set, random.nextLong());
-            node.now = beginUs;
+        /** Runs one node from its start until the new servers are warm. */
+        private void runNode(long nodeStartUs, double requestsPerS) {
+            Node node = new Node(settings, random.nextLong());
+            node.nowUs = nodeStartUs;
             PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::atUs));
-            node.list(ListKind.CACHED, list(beginUs > START_US));
-            if (beginUs <= START_US) {
-                events.add(new Event(START_US + random.nextInt(LIST_US),
-                        () -> node.list(ListKind.FULL, list(true))));
+            node.updateServers(ListKind.CACHED, serverList(nodeStartUs > SERVER_START_US));
+            if (nodeStartUs <= SERVER_START_US) {
+                events.add(new Event(SERVER_START_US + random.nextInt(MAX_LIST_DELAY_US),
+                        () -> node.updateServers(ListKind.FULL, serverList(true))));
             }
-            events.add(new Event(beginUs, () -> arrive(node, events, perSecond)));
-            int sent = 0;
-            int errors = random.nextInt(ERROR_ONE_IN);
-            while (!events.isEmpty() && events.peek().atUs() < START_US + set.coldUs) {
+            events.add(new Event(nodeStartUs, () -> submitAndScheduleNext(node, events, requestsPerS)));
+            int processed = 0;
+            int responses = random.nextInt(RESPONSES_PER_ERROR);
+            while (!events.isEmpty() && events.peek().atUs() < SERVER_START_US + settings.coldUs) {
                 Event next = events.poll();
-                node.advance(Math.max(0, next.atUs() - node.now));
-                next.run().run();
-                for (; sent < node.sent.size(); sent++) {
-                    Node.Sent attempt = node.sent.get(sent);
-                    count(attempt.server(), attempt.atUs());
-                    Result result = ++errors % ERROR_ONE_IN == 0 ? Result.ERROR : Result.OK;
-                    events.add(new Event(attempt.atUs() + LATENCY_US / 2 + random.nextLong(LATENCY_US), 
-                            () -> node.answer(attempt.request(), result, 0)));
+                node.advanceClock(Math.max(0, next.atUs() - node.nowUs));
+                next.action().run();
+                for (; processed < node.sent.size(); processed++) {
+                    Node.SentAttempt attempt = node.sent.get(processed);
+                    countSend(attempt.serverId(), attempt.sentAtUs());
+                    Result result = ++responses % RESPONSES_PER_ERROR == 0 ? Result.ERROR : Result.OK;
+                    events.add(new Event(
+                            attempt.sentAtUs() + MEAN_LATENCY_US / 2 + random.nextLong(MEAN_LATENCY_US),
+                            () -> node.completeAttempt(attempt.requestId(), result, 0)));
                 }
-                List<String> probed = new ArrayList<>(node.probed);
-                node.probed.clear();
-                for (String server : probed) {
-                    count(server, node.now);
-                    events.add(new Event(node.now + PROBE_US,
-                            () -> node.balancer.onProbe(node.now, server, Result.OK, PROBE_US, null)));
+                List<String> probedServers = new ArrayList<>(node.probedServers);
+                node.probedServers.clear();
+                for (String serverId : probedServers) {
+                    countSend(serverId, node.nowUs);
+                    events.add(new Event(node.nowUs + PROBE_LATENCY_US,
+                            () -> node.balancer.onProbe(node.nowUs, serverId, Result.OK,
+                                    PROBE_LATENCY_US, null)));
                 }
             }
         }
 
-        private void arrive(Node node, PriorityQueue<Event> events, double perSecond) {
-            node.ask(0);
-            events.add(new Event(node.now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e6),
-                    () -> arrive(node, events, perSecond)));
+        /** Submits a request and schedules the next one after an exponentially distributed gap. */
+        private void submitAndScheduleNext(Node node, PriorityQueue<Event> events, double requestsPerS) {
+            node.submit(0);
+            events.add(new Event(
+                    node.nowUs + (long) (-Math.log(1 - random.nextDouble()) / requestsPerS * 1e6),
+                    () -> submitAndScheduleNext(node, events, requestsPerS)));
         }
 
-        private void count(String server, long atUs) {
-            int i = Integer.parseInt(server.substring(1));
-            if (i < cold) {
-                calls.get(i).add(atUs);
+        private void countSend(String serverId, long atUs) {
+            int server = Integer.parseInt(serverId.substring(1));
+            if (server < newServers) {
+                sendTimesUs.get(server).add(atUs);
             }
         }
     }
 
     /**
-     * Lists that lower a weight with what its server held some time ago, the same for all: were they
-     * followed to the letter, all would go where little was held, and then all elsewhere.
+     * Guards against oscillation: a list may lower each weight by the requests that its server had in flight
+     * some time ago. If nodes followed such weights exactly, all would send to the servers that were idle
+     * then, and next all to others.
      */
     @Test
-    void liveWeightsThatComeLateDoNotMakeAllProcessesSwingTogether() {
+    void delayedWeightsThatFollowLoadDoNotMakeAllNodesOscillateTogether() {
         int nodes = 30;
         int servers = 12;
-        Settings set = Node.settings();
-        set.nodes = nodes;
+        Settings settings = Node.settings();
+        settings.nodes = nodes;
         List<Node> fleet = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            fleet.add(new Node(set, i).with(servers));
+            fleet.add(new Node(settings, i).withServers(servers));
         }
         SplittableRandom random = new SplittableRandom(3);
-        long[] held = new long[servers];
-        PriorityQueue<Event> answers = new PriorityQueue<>(Comparator.comparingLong(Event::atUs));
-        double mostOverMean = 0;
+        long[] inFlight = new long[servers];
+        PriorityQueue<Event> responses = new PriorityQueue<>(Comparator.comparingLong(Event::atUs));
+        double sumOfMaxOverMean = 0;
         int samples = 0;
-        for (long now = 1_000_000; now < 21_000_000; now += 10_000) {
-            if (now % 1_000_000 == 0) {
+        for (long nowUs = 1_000_000; nowUs < 21_000_000; nowUs += 10_000) {
+            if (nowUs % 1_000_000 == 0) {
                 List<ServerEntry> list = new ArrayList<>();
                 for (int i = 0; i < servers; i++) {
-                    list.add(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1.0 / (1 + held[i]), 0));
+                    list.add(new ServerEntry("s" + i, 0, 0, ServerState.READY, 1.0 / (1 + inFlight[i]), 0));
                 }
-                fleet.forEach(node -> node.list(ListKind.FULL, list));
+                fleet.forEach(node -> node.updateServers(ListKind.FULL, list));
             }
-            while (!answers.isEmpty() && answers.peek().atUs() <= now) {
-                answers.poll().run().run();
+            while (!responses.isEmpty() && responses.peek().atUs() <= nowUs) {
+                responses.poll().action().run();
             }
             for (Node node : fleet) {
-                node.advance(now - node.now);
-                // Ten a second each, so that every server holds five on the mean.
+                node.advanceClock(nowUs - node.nowUs);
+                // Each node gets ten requests a second, so that each server has five in flight on average.
                 if (random.nextInt(10) == 0) {
-                    node.ask(Node.SAFE);
+                    node.submit(Node.SAFE);
                 }
-                for (Node.Sent sent : node.sent) {
-                    int server = Integer.parseInt(sent.server().substring(1));
-                    held[server]++;
-                    answers.add(new Event(now + 150_000 + random.nextInt(100_000), () -> {
-                        held[server]--;
-                        node.balancer.onOutcome(node.now, new Outcome(sent.request(), sent.attempt(),
-                                Result.OK, node.now - sent.atUs(), true, null));
+                for (Node.SentAttempt attempt : node.sent) {
+                    int server = Integer.parseInt(attempt.serverId().substring(1));
+                    inFlight[server]++;
+                    responses.add(new Event(nowUs + 150_000 + random.nextInt(100_000), () -> {
+                        inFlight[server]--;
+                        node.balancer.onOutcome(node.nowUs, new Outcome(attempt.requestId(),
+                                attempt.attempt(), Result.OK, node.nowUs - attempt.sentAtUs(), true, null));
                     }));
                 }
                 node.sent.clear();
             }
-            long sum = Arrays.stream(held).sum();
-            if (now > 3_000_000 && sum > 0) {
-                mostOverMean += Arrays.stream(held).max().orElseThrow() * (double) servers / sum;
+            long sum = Arrays.stream(inFlight).sum();
+            if (nowUs > 3_000_000 && sum > 0) {
+                sumOfMaxOverMean += Arrays.stream(inFlight).max().orElseThrow() * (double) servers / sum;
                 samples++;
             }
         }
-        double swing = mostOverMean / samples;
-        assertTrue(swing < 2.2, "the fullest server holds so many times the mean: " + swing);
+        double meanMaxOverMean = sumOfMaxOverMean / samples;
+        assertTrue(meanMaxOverMean < 2.2,
+                "requests in flight at the busiest server, relative to the mean: " + meanMaxOverMean);
     }
 
-    /** Some processes get three times the mean, and a part of them begins anew after the servers' start. */
+    /**
+     * One node in ten gets three times the mean load. The share {@code restarted} of the nodes starts after
+     * the new servers have started.
+     */
     @ParameterizedTest
     @CsvSource({"20,60,1,20,0", "20,60,36,20,0.5", "30,60,36,20,0", "30,200,120,5,1", "120,60,1,20,0",
         "120,60,36,20,0.3", "120,200,120,10,1", "120,200,120,2,0.5", "120,30,18,40,0"})
-    void coldServersBearTheSumOfWhatAllProcessesSend(int nodes, int servers, int cold, double perServer,
-            double restarted) {
-        Fleet fleet = new Fleet(nodes, servers, cold);
+    void serversInSlowStartAreNotOverloadedByTheSumOfAllNodes(int nodes, int servers, int newServers,
+            double requestsPerSPerServer, double restarted) {
+        Fleet fleet = new Fleet(nodes, servers, newServers);
         for (int i = 0; i < nodes; i++) {
-            double perSecond = perServer * servers / nodes * (i % 10 == 0 ? 3 : 7 / 9.0);
+            double requestsPerS = requestsPerSPerServer * servers / nodes * (i % 10 == 0 ? 3 : 7 / 9.0);
             if (i < restarted * nodes) {
-                fleet.play(START_US + fleet.random.nextInt(1_000_000), perSecond);
+                fleet.runNode(SERVER_START_US + fleet.random.nextInt(1_000_000), requestsPerS);
             } else {
-                fleet.play(1_000_000, perSecond);
+                fleet.runNode(1_000_000, requestsPerS);
             }
         }
-        long sum = 0;
-        for (List<Long> one : fleet.calls) {
-            one.sort(null);
-            sum += one.size();
-            for (int from = 0, to = 0; from < one.size(); from++) {
-                while (to < one.size() && one.get(to) < one.get(from) + fleet.set.fallUs) {
+        long totalSends = 0;
+        for (List<Long> sendTimes : fleet.sendTimesUs) {
+            sendTimes.sort(null);
+            totalSends += sendTimes.size();
+            for (int from = 0, to = 0; from < sendTimes.size(); from++) {
+                while (to < sendTimes.size()
+                        && sendTimes.get(to) < sendTimes.get(from) + fleet.settings.fallUs) {
                     to++;
                 }
-                double age = (one.get(from) - START_US) / (double) fleet.set.coldUs;
-                double share = fleet.set.coldFrom + (1 - fleet.set.coldFrom) * Math.min(1, age);
-                double most = fleet.set.fallMultiple * share * perServer * fleet.set.fallUs / 1e6;
-                assertTrue(to - from <= most + 2 * Math.sqrt(most) + 2, (to - from) + " calls of " + most
-                        + " within the time in which a cold server falls, at age " + age);
+                double warmUpProgress = (sendTimes.get(from) - SERVER_START_US)
+                        / (double) fleet.settings.coldUs;
+                double share = fleet.settings.coldFrom
+                        + (1 - fleet.settings.coldFrom) * Math.min(1, warmUpProgress);
+                double limit = fleet.settings.fallMultiple * share * requestsPerSPerServer
+                        * fleet.settings.fallUs / 1e6;
+                assertTrue(to - from <= limit + 2 * Math.sqrt(limit) + 2, (to - from) + " sends within "
+                        + "fallUs exceed the limit of " + limit + " at this part of slow start: "
+                        + warmUpProgress);
             }
         }
-        double even = perServer * cold * fleet.set.coldUs / 1e6;
-        assertTrue(sum > 0.2 * even, "cold servers get nearly nothing: " + sum + " of " + even);
+        double evenShare = requestsPerSPerServer * newServers * fleet.settings.coldUs / 1e6;
+        assertTrue(totalSends > 0.2 * evenShare,
+                "servers in slow start get too little: " + totalSends + " of " + evenShare);
     }
 }
--- a/src/test/java/cedarrelay/HealthTest.java
+++ b/src/test/java/cedarrelay/HealthTest.java
@@ -15,418 +15,443 @@
 import cedarrelay.Balancer.ServerState;
 import cedarrelay.Balancer.Settings;
 
-/** Exceptions: ejection and trials, silent servers, zones. */
+/**
+ * Tests how the balancer reacts to failures and lag: ejection and trial requests, ejection for one class,
+ * unresponsive servers, zones, probes and the node's own event-loop lag.
+ */
 class HealthTest {
 
-    /** Serves one request; {@code s0} fails, all others succeed. */
-    private static boolean hitsBad(Node node, int classIndex) {
-        long id = node.ask(classIndex);
-        boolean bad = node.last(id).server().equals("s0");
-        node.answer(id, bad ? Result.ERROR : Result.OK, 5_000);
-        if (bad && node.attempts(id) > 1) {
-            node.answer(id, Result.OK, 5_000);
-        }
-        return bad;
+    /**
+     * Runs one request; {@code s0} fails it, all others succeed.
+     *
+     * @return whether it was sent to {@code s0} first
+     */
+    private static boolean goesToFailingServer(Node node, int classIndex) {
+        long id = node.submit(classIndex);
+        boolean fails = node.latestAttempt(id).serverId().equals("s0");
+        node.completeAttempt(id, fails ? Result.ERROR : Result.OK, 5_000);
+        if (fails && node.attemptCount(id) > 1) {
+            node.completeAttempt(id, Result.OK, 5_000);
+        }
+        return fails;
     }
 
-    /** Four servers, of which {@code s0} has failed all it was sent among 400 requests. */
+    /** A node with four servers, of which {@code s0} failed all that it got of 4000 requests. */
     private static Node withFailingServer() {
-        Node node = new Node().with(4);
+        Node node = new Node().withServers(4);
         for (int i = 0; i < 4_000; i++) {
-            hitsBad(node, Node.SAFE);
+            goesToFailingServer(node, Node.SAFE);
         }
         return node;
     }
 
     private static void assertEjected(Node node) {
-        assertTrue(node.logged.stream().anyMatch(l -> l.startsWith("ejected server s0")),
-                node.logged.toString());
+        assertTrue(node.logLines.stream().anyMatch(line -> line.startsWith("ejected server s0")),
+                node.logLines.toString());
     }
 
     @Test
-    void aServerThatKeepsFailingIsEjectedAndTriedEverMoreSparingly() {
+    void aServerThatKeepsFailingIsEjectedAndGetsTrialsLessAndLessOften() {
         Node node = withFailingServer();
         assertEjected(node);
-        int hits = 0;
-        long from = node.now;
-        while (node.now < from + 20_000_000) {
-            hits += hitsBad(node, Node.SAFE) ? 1 : 0;
+        int trials = 0;
+        long startUs = node.nowUs;
+        while (node.nowUs < startUs + 20_000_000) {
+            trials += goesToFailingServer(node, Node.SAFE) ? 1 : 0;
         }
-        assertTrue(hits >= 2 && hits <= 14, "trials in 20 s: " + hits);
+        assertTrue(trials >= 2 && trials <= 14, "trial requests in 20 s: " + trials);
     }
 
     @Test
-    void anEjectedServerThatServesSomeStillHelpsWhenAllOthersAreFull() {
-        Node node = new Node().with(2);
+    void anEjectedServerThatStillServesSomeIsUsedWhenAllOthersAreAtTheirLimit() {
+        Node node = new Node().withServers(2);
+        // s0 fails every second request that it gets.
         boolean fails = false;
         for (int i = 0; i < 4_000; i++) {
-            long id = node.ask(Node.UNSAFE);
-            boolean first = node.last(id).server().equals("s0");
-            fails = first != fails;
-            node.answer(id, first && fails ? Result.ERROR : Result.OK, 5_000);
+            long id = node.submit(Node.UNSAFE);
+            boolean isFlakyServer = node.latestAttempt(id).serverId().equals("s0");
+            fails = isFlakyServer != fails;
+            node.completeAttempt(id, isFlakyServer && fails ? Result.ERROR : Result.OK, 5_000);
         }
         assertEjected(node);
-        List<String> servers = new ArrayList<>();
+        List<String> pickedServers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            long id = node.ask(i < 20 ? Node.UNSAFE : Node.SAFE);
-            servers.add(node.last(id) == null ? "none" : node.last(id).server());
+            long id = node.submit(i < 20 ? Node.UNSAFE : Node.SAFE);
+            pickedServers.add(node.latestAttempt(id) == null ? "none" : node.latestAttempt(id).serverId());
         }
-        assertTrue(servers.subList(0, 20).stream().noneMatch("s0"::equals), servers.toString());
-        assertTrue(servers.subList(20, 30).contains("s0"), servers.toString());
+        assertTrue(pickedServers.subList(0, 20).stream().noneMatch("s0"::equals), pickedServers.toString());
+        assertTrue(pickedServers.subList(20, 30).contains("s0"), pickedServers.toString());
     }
 
-    /** Sends one request; {@code s0} leaves the class without any answer, all else is served. */
-    private static boolean missedBy(Node node, int silentFor, int classIndex) {
-        long id = node.ask(classIndex);
-        boolean missed = node.last(id).server().equals("s0") && classIndex == silentFor;
-        if (missed) {
-            // The others go on being answered meanwhile.
-            node.serve(Node.SAFE, Result.OK, 5_000);
-            node.answer(id, Result.TIMEOUT, node.last(id).untilUs() - node.now);
-        }
-        if (node.attempts(id) == (missed ? 2 : 1)) {
-            node.answer(id, Result.OK, 5_000);
-        }
-        return missed;
+    /**
+     * Runs one request; {@code s0} doesn't respond to the class {@code silentForClass}, all else is served.
+     *
+     * @return whether the first attempt got no response
+     */
+    private static boolean timesOutAtSilentServer(Node node, int silentForClass, int classIndex) {
+        long id = node.submit(classIndex);
+        boolean timesOut = node.latestAttempt(id).serverId().equals("s0") && classIndex == silentForClass;
+        if (timesOut) {
+            // Other requests are still answered in the meantime.
+            node.submitAndComplete(Node.SAFE, Result.OK, 5_000);
+            node.completeAttempt(id, Result.TIMEOUT, node.latestAttempt(id).untilUs() - node.nowUs);
+        }
+        if (node.attemptCount(id) == (timesOut ? 2 : 1)) {
+            node.completeAttempt(id, Result.OK, 5_000);
+        }
+        return timesOut;
     }
 
     @Test
-    void aServerThatLeavesOneClassUnansweredGetsNearlyNothingOfItAndAllTheRest() {
-        for (int silentFor : new int[] {Node.KEYED_CELL, Node.UNSAFE}) {
-            Node node = new Node().with(4);
-            int missed = 0;
+    void aServerThatDoesNotRespondToOneClassIsEjectedForThatClassOnly() {
+        for (int silentForClass : new int[] {Node.KEYED_CELL, Node.UNSAFE}) {
+            Node node = new Node().withServers(4);
+            int timeouts = 0;
             for (int i = 0; i < 4_000; i++) {
-                missed += missedBy(node, silentFor, i % 2 == 0 ? silentFor : Node.SAFE) ? 1 : 0;
+                timeouts += timesOutAtSilentServer(node, silentForClass,
+                        i % 2 == 0 ? silentForClass : Node.SAFE) ? 1 : 0;
             }
-            assertTrue(missed >= 2 && missed <= 25, silentFor + " missed: " + missed);
-            assertTrue(node.sentTo("s0") > 100, "sent at all: " + node.sentTo("s0"));
+            assertTrue(timeouts >= 2 && timeouts <= 25,
+                    "timeouts of class " + silentForClass + ": " + timeouts);
+            assertTrue(node.attemptsTo("s0") > 100,
+                    "requests of all classes sent to s0: " + node.attemptsTo("s0"));
         }
     }
 
     @Test
-    void aClassThatAServerMissedIsRepeatedInTimeElsewhere() {
-        Node node = new Node().with(2);
-        int repeated = 0;
+    void requestsOfAClassThatAServerDoesNotAnswerAreRetriedOnTimeElsewhere() {
+        Node node = new Node().withServers(2);
+        int retriedOnTime = 0;
         for (int i = 0; i < 4_000; i++) {
-            long id = node.ask(Node.KEYED_CELL);
-            long from = node.now;
-            if (node.last(id).server().equals("s0")) {
-                node.answer(id, Result.TIMEOUT, node.last(id).untilUs() - from);
-                repeated += node.attempts(id) == 2 && node.now - from <= 100_000 ? 1 : 0;
+            long id = node.submit(Node.KEYED_CELL);
+            long submittedAtUs = node.nowUs;
+            if (node.latestAttempt(id).serverId().equals("s0")) {
+                node.completeAttempt(id, Result.TIMEOUT, node.latestAttempt(id).untilUs() - submittedAtUs);
+                retriedOnTime += node.attemptCount(id) == 2 && node.nowUs - submittedAtUs <= 100_000 ? 1 : 0;
             }
             if (!node.failed.contains(id)) {
-                node.answer(id, Result.OK, 5_000);
+                node.completeAttempt(id, Result.OK, 5_000);
             }
         }
-        assertTrue(repeated > 0, "none repeated in time");
-        assertTrue(node.failed.size() <= 3, "failed: " + node.failed.size());
+        assertTrue(retriedOnTime > 0, "no request was retried on time");
+        assertTrue(node.failed.size() <= 3, "failed requests: " + node.failed.size());
     }
 
     @Test
-    void moreThanHalfOfTheServersAreNeverKeptFromAClass() {
-        Node node = new Node().with(4);
+    void atMostHalfOfTheServersAreEjectedForAClass() {
+        Node node = new Node().withServers(4);
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.UNSAFE, Result.ERROR, 5_000);
+            node.submitAndComplete(Node.UNSAFE, Result.ERROR, 5_000);
         }
-        int held = node.sent.size();
+        int sentBefore = node.sent.size();
         for (int i = 0; i < 2; i++) {
-            node.ask(Node.UNSAFE);
+            node.submit(Node.UNSAFE);
         }
-        assertEquals(held + 2, node.sent.size());
+        assertEquals(sentBefore + 2, node.sent.size());
     }
 
     @Test
-    void whatAServerWasKeptFromComesBackOnceItServesIt() {
-        Node node = new Node().with(4);
+    void aServerEjectedForAClassGetsItAgainOnceItServesIt() {
+        Node node = new Node().withServers(4);
         for (int i = 0; i < 400; i++) {
-            missedBy(node, Node.UNSAFE, Node.UNSAFE);
+            timesOutAtSilentServer(node, Node.UNSAFE, Node.UNSAFE);
         }
-        node.advance(8_000_000);
-        long before = node.sentTo("s0");
+        node.advanceClock(8_000_000);
+        long sentBefore = node.attemptsTo("s0");
         for (int i = 0; i < 400; i++) {
-            node.serve(Node.UNSAFE, Result.OK, 5_000);
+            node.submitAndComplete(Node.UNSAFE, Result.OK, 5_000);
         }
-        assertTrue(node.sentTo("s0") - before > 40, "sent again: " + (node.sentTo("s0") - before));
+        assertTrue(node.attemptsTo("s0") - sentBefore > 40,
+                "requests sent to s0 again: " + (node.attemptsTo("s0") - sentBefore));
     }
 
     @Test
-    void aRequestDoesNotSpendItsAttemptsAtOnceOnAServerThatTurnsItAway() {
-        Node node = new Node().with(1);
+    void aRequestDoesNotSpendItsAttemptsAtOnceOnAServerThatRejectsIt() {
+        Node node = new Node().withServers(1);
         for (int i = 0; i < 100; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
-        }
-        long id = node.ask(Node.SAFE);
-        node.answer(id, Result.FULL, 100);
-        assertEquals(1, node.attempts(id), "tried again at once");
-        node.advance(20_000);
-        assertEquals(2, node.attempts(id), "not tried again");
-        assertTrue(node.refused.isEmpty(), "given up");
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+        }
+        long id = node.submit(Node.SAFE);
+        node.completeAttempt(id, Result.FULL, 100);
+        assertEquals(1, node.attemptCount(id), "retried at once on the server that rejected it");
+        node.advanceClock(20_000);
+        assertEquals(2, node.attemptCount(id), "not retried after 20 ms");
+        assertTrue(node.refused.isEmpty(), "refused although attempts are left");
     }
 
     @Test
-    void anEjectedServerThatTakesNoConnectionIsNoLastResort() {
-        Node node = new Node().with(2);
-        for (int i = 0; i < 4_000 && node.logged.isEmpty(); i++) {
-            long id = node.ask(Node.SAFE);
-            boolean bad = node.last(id).server().equals("s0") && i >= 200;
-            node.answer(id, bad ? Result.CONNECT_FAILED : Result.OK, 5_000);
-            if (bad && node.attempts(id) > 1) {
-                node.answer(id, Result.OK, 5_000);
+    void anEjectedServerThatAcceptsNoConnectionsIsNotUsedAsALastResort() {
+        Node node = new Node().withServers(2);
+        for (int i = 0; i < 4_000 && node.logLines.isEmpty(); i++) {
+            long id = node.submit(Node.SAFE);
+            boolean unreachable = node.latestAttempt(id).serverId().equals("s0") && i >= 200;
+            node.completeAttempt(id, unreachable ? Result.CONNECT_FAILED : Result.OK, 5_000);
+            if (unreachable && node.attemptCount(id) > 1) {
+                node.completeAttempt(id, Result.OK, 5_000);
             }
         }
         assertEjected(node);
-        long before = node.sentTo("s0");
+        long sentBefore = node.attemptsTo("s0");
         for (int i = 0; i < 40; i++) {
-            long id = node.ask(Node.SAFE);
-            for (int j = 0; j < 4 && node.last(id) != null && node.last(id).server().equals("s0"); j++) {
-                node.answer(id, Result.CONNECT_FAILED, 100);
+            long id = node.submit(Node.SAFE);
+            for (int j = 0; j < 4 && node.latestAttempt(id) != null
+                    && node.latestAttempt(id).serverId().equals("s0"); j++) {
+                node.completeAttempt(id, Result.CONNECT_FAILED, 100);
             }
         }
-        assertTrue(node.sentTo("s0") - before <= 3, "sent to it: " + (node.sentTo("s0") - before));
-        assertTrue(node.refused.isEmpty(), "given up: " + node.refused.size());
+        assertTrue(node.attemptsTo("s0") - sentBefore <= 3,
+                "requests sent to the ejected server: " + (node.attemptsTo("s0") - sentBefore));
+        assertTrue(node.refused.isEmpty(), "refused requests: " + node.refused.size());
     }
 
     @Test
     void unsafeRequestsAreNotUsedForTrials() {
         Node node = withFailingServer();
-        node.advance(20_000_000);
+        node.advanceClock(20_000_000);
         for (int i = 0; i < 200; i++) {
-            assertTrue(!hitsBad(node, Node.UNSAFE));
+            assertTrue(!goesToFailingServer(node, Node.UNSAFE));
         }
     }
 
     @Test
-    void oneLuckySuccessDoesNotRestoreAServerButSeveralInARowDo() {
+    void oneSuccessDoesNotRestoreAnEjectedServerButThreeInARowDo() {
         Node node = withFailingServer();
-        node.advance(20_000_000);
-        assertEquals("s0", node.serve(Node.SAFE, Result.OK, 5_000));
-        assertTrue(node.logged.stream().noneMatch(l -> l.startsWith("restored")));
-        assertEquals("s0", node.serve(Node.SAFE, Result.OK, 5_000));
-        assertEquals("s0", node.serve(Node.SAFE, Result.OK, 5_000));
-        assertTrue(node.logged.stream().anyMatch(l -> l.equals("restored server s0")));
+        node.advanceClock(20_000_000);
+        assertEquals("s0", node.submitAndComplete(Node.SAFE, Result.OK, 5_000));
+        assertTrue(node.logLines.stream().noneMatch(line -> line.startsWith("restored")));
+        assertEquals("s0", node.submitAndComplete(Node.SAFE, Result.OK, 5_000));
+        assertEquals("s0", node.submitAndComplete(Node.SAFE, Result.OK, 5_000));
+        assertTrue(node.logLines.stream().anyMatch(line -> line.equals("restored server s0")));
     }
 
     @Test
-    void neverAreMoreThanHalfOfTheServersEjected() {
-        Node node = new Node().with(4);
+    void atMostHalfOfTheServersAreEjected() {
+        Node node = new Node().withServers(4);
         for (int i = 0; i < 300; i++) {
-            node.serve(Node.UNSAFE, Result.ERROR, 5_000);
+            node.submitAndComplete(Node.UNSAFE, Result.ERROR, 5_000);
         }
-        // All fail: two may be out, and requests must still be tried on the others, not held.
-        long id = node.ask(Node.UNSAFE);
-        assertNotEquals(null, node.last(id));
+        // All servers fail, two may be ejected: requests must still be sent to the others, not deferred.
+        long id = node.submit(Node.UNSAFE);
+        assertNotEquals(null, node.latestAttempt(id));
     }
 
     @Test
-    void aServerThatAnswersNothingIsLeftAloneBeforeAnyDeadlinePasses() {
-        Node node = new Node().with(4);
+    void anUnresponsiveServerIsAvoidedBeforeAnyDeadlinePasses() {
+        Node node = new Node().withServers(4);
         for (int i = 0; i < 100; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
         }
-        int toSilent = 0;
+        int sentToSilentServer = 0;
         for (int i = 0; i < 80; i++) {
-            long id = node.ask(Node.UNSAFE);
-            if (node.last(id).server().equals("s0")) {
-                toSilent++;
+            long id = node.submit(Node.UNSAFE);
+            if (node.latestAttempt(id).serverId().equals("s0")) {
+                sentToSilentServer++;
             } else {
-                node.answer(id, Result.OK, 10_000);
+                node.completeAttempt(id, Result.OK, 10_000);
             }
         }
-        assertTrue(toSilent <= 5, "sent to the silent server: " + toSilent);
+        assertTrue(sentToSilentServer <= 5, "requests sent to the silent server: " + sentToSilentServer);
     }
 
     @Test
-    void aCrowdedServerThatStillAnswersIsNotEjectedForTimeOuts() {
-        Node node = new Node(Node.lateCounts(), 7).with(2);
+    void anOverloadedServerThatStillRespondsIsNotEjectedForTimeouts() {
+        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(2);
         for (int round = 0; round < 80; round++) {
-            // Ever one more than fits, so that the limits are met and grow.
+            // Always one request more than the limits allow, so that they are reached and grow.
             List<Long> burst = new ArrayList<>();
             do {
-                burst.add(node.ask(Node.SAFE));
-            } while (node.last(burst.get(burst.size() - 1)) != null && burst.size() < 40);
-            burst.forEach(id -> node.answer(id, Result.OK, 100));
+                burst.add(node.submit(Node.SAFE));
+            } while (node.latestAttempt(burst.get(burst.size() - 1)) != null && burst.size() < 40);
+            burst.forEach(id -> node.completeAttempt(id, Result.OK, 100));
         }
-        List<Long> crowd = new ArrayList<>();
+        List<Long> pending = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            crowd.add(node.ask(Node.SAFE, 30_000));
+            pending.add(node.submit(Node.SAFE, 30_000));
         }
         for (String server : List.of("s0", "s1")) {
-            long answered = crowd.stream().filter(id -> node.last(id).server().equals(server))
+            long answered = pending.stream().filter(id -> node.latestAttempt(id).serverId().equals(server))
                     .findFirst().get();
-            node.answer(answered, Result.OK, 1_000);
-            crowd.remove(answered);
+            node.completeAttempt(answered, Result.OK, 1_000);
+            pending.remove(answered);
         }
-        node.advance(28_000);
-        crowd.forEach(id -> node.answer(id, Result.TIMEOUT, 0));
-        assertTrue(node.logged.stream().noneMatch(l -> l.startsWith("ejected")), node.logged.toString());
+        node.advanceClock(28_000);
+        pending.forEach(id -> node.completeAttempt(id, Result.TIMEOUT, 0));
+        assertTrue(node.logLines.stream().noneMatch(line -> line.startsWith("ejected")),
+                node.logLines.toString());
     }
 
     @Test
-    void whereCrossingZonesCostsLocalServersComeFirstAndOthersWhenTheyAreBusy() {
-        Settings set = Node.settings();
-        set.crossZonePrice = 0.02;
-        Node node = new Node(set, 5);
+    void withACrossZonePriceOtherZonesAreUsedOnlyWhenLocalServersAreBusy() {
+        Settings settings = Node.settings();
+        settings.crossZonePrice = 0.02;
+        Node node = new Node(settings, 5);
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             entries.add(new ServerEntry("s" + i, i < 2 ? 0 : 1, 0, ServerState.READY, 1, 0));
         }
-        node.list(ListKind.CACHED, entries);
+        node.updateServers(ListKind.CACHED, entries);
         for (int i = 0; i < 50; i++) {
-            assertTrue(List.of("s0", "s1").contains(node.serve(Node.SAFE, Result.OK, 5_000)));
+            assertTrue(List.of("s0", "s1").contains(node.submitAndComplete(Node.SAFE, Result.OK, 5_000)));
         }
-        long crossed = 0;
+        long crossZoneRequests = 0;
         for (int i = 0; i < 12; i++) {
-            long id = node.ask(Node.SAFE);
-            crossed += List.of("s0", "s1").contains(node.last(id).server()) ? 0 : 1;
+            long id = node.submit(Node.SAFE);
+            crossZoneRequests += List.of("s0", "s1").contains(node.latestAttempt(id).serverId()) ? 0 : 1;
         }
-        assertTrue(crossed >= 6, "crossed " + crossed);
+        assertTrue(crossZoneRequests >= 6, "requests sent to another zone: " + crossZoneRequests);
     }
 
     @Test
-    void whatHangsAtAServerThatHasGoneDoesNotHoldBackTheOthers() {
-        // Guards against a node whose whole allowance in flight hangs at servers no longer in use.
-        Node node = new Node().with(1);
+    void requestsHangingAtARemovedServerDoNotHoldBackOthers() {
+        // Guards against a node whose whole limit of requests in flight is used up at removed servers.
+        Node node = new Node().withServers(1);
         for (int i = 0; i < 4; i++) {
-            assertNotEquals(null, node.last(node.ask(Node.UNSAFE)));
+            assertNotEquals(null, node.latestAttempt(node.submit(Node.UNSAFE)));
         }
-        node.list(ListKind.FULL, List.of(Node.server("other")));
+        node.updateServers(ListKind.FULL, List.of(Node.readyServer("other")));
         for (int i = 0; i < 3; i++) {
-            Node.Sent sent = node.last(node.ask(Node.UNSAFE));
-            assertTrue(sent != null && sent.server().equals("other"), "request " + i + " at " + sent);
+            Node.SentAttempt attempt = node.latestAttempt(node.submit(Node.UNSAFE));
+            assertTrue(attempt != null && attempt.serverId().equals("other"),
+                    "request " + i + " was sent as " + attempt);
         }
     }
 
-    /** A node among many that has seen half of its answers come late, so that asking is worth its price. */
-    private static Node ofMany() {
-        Settings set = Node.lateCounts();
-        set.nodes = 20;
-        set.probes = true;
-        set.probePrice = 0.01;
-        Node node = new Node(set, 11).with(8);
+    /** A node among many that got half of its responses late, so that a probe gains more than it costs. */
+    private static Node nodeAmongMany() {
+        Settings settings = Node.settingsWithLateUtility();
+        settings.nodes = 20;
+        settings.probes = true;
+        settings.probePrice = 0.01;
+        Node node = new Node(settings, 11).withServers(8);
         for (int i = 0; i < 40; i++) {
-            long id = node.ask(Node.UNSAFE);
-            node.endProbes();
-            node.answer(id, Result.OK, i % 2 == 0 ? 40_000 : 250_000);
+            long id = node.submit(Node.UNSAFE);
+            node.timeOutProbes();
+            node.completeAttempt(id, Result.OK, i % 2 == 0 ? 40_000 : 250_000);
         }
         return node;
     }
 
-    /** A request that is held while two servers are probed; the draws may well give one and the same
-     * twice. */
-    private static long asking(Node node) {
+    /**
+     * Submits requests until one waits for the probe results of two servers; returns its id. Several may be
+     * needed, since both samples may pick the same server.
+     */
+    private static long requestWaitingForProbes(Node node) {
         for (int i = 0; i < 20; i++) {
-            long id = node.ask(Node.SAFE);
-            if (node.attempts(id) == 0) {
-                assertEquals(2, node.probed.size());
+            long id = node.submit(Node.SAFE);
+            if (node.attemptCount(id) == 0) {
+                assertEquals(2, node.probedServers.size());
                 return id;
             }
-            node.answer(id, Result.OK, 40_000);
+            node.completeAttempt(id, Result.OK, 40_000);
         }
-        throw new AssertionError("never asked");
+        throw new AssertionError("no request waited for probe results");
     }
 
     @Test
     void amongManyNodesTheServerThatAnswersAProbeFirstGetsTheRequest() {
-        // Guards ia8f32f: servers jam and clear faster than a node of many hears of them by its own
-        // requests.
-        Node node = ofMany();
-        long id = asking(node);
-        String quick = node.probed.get(1);
-        node.balancer.onProbe(node.now, quick, Result.OK, 1_000, null);
-        assertEquals(quick, node.last(id).server());
-        node.balancer.onProbe(node.now, node.probed.get(0), Result.OK, 9_000, null);
-        assertEquals(1, node.attempts(id));
+        // Guards against picking by outdated knowledge: servers get congested and recover faster than a node
+        // among many learns from its own requests.
+        Node node = nodeAmongMany();
+        long id = requestWaitingForProbes(node);
+        String fasterServer = node.probedServers.get(1);
+        node.balancer.onProbe(node.nowUs, fasterServer, Result.OK, 1_000, null);
+        assertEquals(fasterServer, node.latestAttempt(id).serverId());
+        node.balancer.onProbe(node.nowUs, node.probedServers.get(0), Result.OK, 9_000, null);
+        assertEquals(1, node.attemptCount(id));
     }
 
     @Test
-    void whatNoProbeAnswersSoonGoesByTheDraws() {
-        for (boolean fail : new boolean[] {false, true}) {
-            Node node = ofMany();
-            long id = asking(node);
-            if (fail) {
-                node.endProbes();
+    void aRequestWhoseProbesAreNotAnsweredSoonIsSentAnyway() {
+        for (boolean probesFail : new boolean[] {false, true}) {
+            Node node = nodeAmongMany();
+            long id = requestWaitingForProbes(node);
+            if (probesFail) {
+                node.timeOutProbes();
             } else {
-                node.advance(60_000);
+                node.advanceClock(60_000);
             }
-            assertEquals(1, node.attempts(id));
+            assertEquals(1, node.attemptCount(id));
         }
     }
 
     @Test
     void aNodeThatSeesAllTrafficItselfDoesNotProbe() {
-        Settings set = Node.settings();
-        set.probes = true;
-        Node node = new Node(set, 11).with(8);
+        Settings settings = Node.settings();
+        settings.probes = true;
+        Node node = new Node(settings, 11).withServers(8);
         for (int i = 0; i < 40; i++) {
-            node.serve(Node.SAFE, Result.OK, 190_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 190_000);
         }
-        assertTrue(node.probed.isEmpty());
+        assertTrue(node.probedServers.isEmpty());
     }
 
-    /** Requests that end by time-out, of which the node may have added so much itself. */
-    private static Node afterTimeouts(long stallUs) {
-        Node node = new Node().with(4);
+    /** A node whose requests all timed out, {@code lagUs} of each timeout due to its own event-loop lag. */
+    private static Node nodeAfterTimeouts(long lagUs) {
+        Node node = new Node().withServers(4);
         for (int i = 0; i < 60; i++) {
-            long id = node.ask(Node.UNSAFE);
-            Node.Sent attempt = node.last(id);
+            long id = node.submit(Node.UNSAFE);
+            Node.SentAttempt attempt = node.latestAttempt(id);
             if (attempt != null) {
-                node.advance(200_000);
-                node.balancer.onOutcome(node.now, new Balancer.Outcome(id, attempt.attempt(), Result.TIMEOUT,
-                        200_000, false, null, stallUs));
+                node.advanceClock(200_000);
+                node.balancer.onOutcome(node.nowUs, new Balancer.Outcome(id, attempt.attempt(),
+                        Result.TIMEOUT, 200_000, false, null, lagUs));
             }
         }
         return node;
     }
 
     @Test
-    void whatTheNodeItselfHeldUpSaysNothingOfItsServers() {
-        Node behind = afterTimeouts(150_000);
-        assertTrue(behind.logged.isEmpty(), behind.logged.toString());
-        assertEquals(60, behind.sent.size(), "held back");
-        // The same from servers that are silent ejects them and holds the rest back.
-        Node silent = afterTimeouts(0);
-        assertTrue(silent.logged.stream().anyMatch(l -> l.startsWith("ejected")), silent.logged.toString());
-        assertTrue(silent.sent.size() < 60, "all sent");
+    void timeoutsCausedByTheNodesOwnLagDoNotCountAgainstServers() {
+        Node lagging = nodeAfterTimeouts(150_000);
+        assertTrue(lagging.logLines.isEmpty(), lagging.logLines.toString());
+        assertEquals(60, lagging.sent.size(), "requests were deferred");
+        // The same timeouts caused by silent servers eject them, and further requests are deferred.
+        Node silent = nodeAfterTimeouts(0);
+        assertTrue(silent.logLines.stream().anyMatch(line -> line.startsWith("ejected")),
+                silent.logLines.toString());
+        assertTrue(silent.sent.size() < 60, "all requests were sent to silent servers");
     }
 
     @Test
-    void timeThatARequestLayUnreadIsGoneFromItsAim() {
-        Node node = new Node().with(1);
-        node.balancer.onRequest(node.now, new Balancer.Request(1, Node.SAFE, 0, 900_000, 0, false, 200_000));
-        assertTrue(node.sent.isEmpty(), "past its aim and still sent");
+    void timeThatARequestWaitedUnreadCountsTowardsItsLatencyTarget() {
+        Node node = new Node().withServers(1);
+        node.balancer.onRequest(node.nowUs, new Balancer.Request(1, Node.SAFE, 0, 900_000, 0, false,
+                200_000));
+        assertTrue(node.sent.isEmpty(), "sent although its latency target has passed");
         assertEquals(1, node.refused.size());
-        node.balancer.onRequest(node.now, new Balancer.Request(2, Node.UNSAFE, 0, 900_000, 0, false,
+        node.balancer.onRequest(node.nowUs, new Balancer.Request(2, Node.UNSAFE, 0, 900_000, 0, false,
                 100_000));
-        assertEquals(node.now + 100_000, node.last(2).untilUs());
+        assertEquals(node.nowUs + 100_000, node.latestAttempt(2).untilUs());
     }
 
     @Test
-    void aNodeThatIsBehindTakesNothingThatCantBeInTime() {
-        Node node = new Node().with(1);
-        // 70 ms of the aim are left, and the answer may lie unread for as long as the request has.
-        node.balancer.onRequest(node.now, new Balancer.Request(1, Node.SAFE, 0, 900_000, 0, false, 130_000));
-        assertEquals(1, node.sent.size(), "time enough");
-        node.answer(1, Result.OK, 30_000);
+    void aLaggingNodeRefusesRequestsThatCannotBeOnTime() {
+        Node node = new Node().withServers(1);
+        // 70 ms are left to the latency target, and the response may wait unread as long as the request did.
+        node.balancer.onRequest(node.nowUs, new Balancer.Request(1, Node.SAFE, 0, 900_000, 0, false,
+                130_000));
+        assertEquals(1, node.sent.size(), "not sent although there is time enough");
+        node.completeAttempt(1, Result.OK, 30_000);
         for (int i = 0; i < 100; i++) {
-            node.answer(node.ask(Node.SAFE), Result.OK, 30_000);
+            node.completeAttempt(node.submit(Node.SAFE), Result.OK, 30_000);
         }
-        node.balancer.onRequest(node.now, new Balancer.Request(500, Node.SAFE, 0, 900_000, 0, false,
+        node.balancer.onRequest(node.nowUs, new Balancer.Request(500, Node.SAFE, 0, 900_000, 0, false,
                 130_000));
-        assertEquals(1, node.refused.size(), "sent though its answer would be late");
+        assertEquals(1, node.refused.size(), "sent although its response would be late");
     }
 
     @Test
-    void latenciesAreNotLearntFromWhatWasReadLate() {
-        Node node = new Node().with(1);
+    void latenciesAreNotLearnedFromResponsesReadLate() {
+        Node node = new Node().withServers(1);
         for (int i = 0; i < 100; i++) {
-            long id = node.ask(Node.SAFE);
-            node.advance(90_000);
-            node.balancer.onOutcome(node.now, new Balancer.Outcome(id, 0, Result.OK, 90_000, true, null,
+            long id = node.submit(Node.SAFE);
+            node.advanceClock(90_000);
+            node.balancer.onOutcome(node.nowUs, new Balancer.Outcome(id, 0, Result.OK, 90_000, true, null,
                     40_000));
         }
-        // With a usual latency of 50 ms and more it would be refused.
-        node.balancer.onRequest(node.now, new Balancer.Request(500, Node.SAFE, 0, 900_000, 0, false,
+        // If the usual latency had been learned as more than 50 ms, this request would be refused.
+        node.balancer.onRequest(node.nowUs, new Balancer.Request(500, Node.SAFE, 0, 900_000, 0, false,
                 120_000));
-        assertTrue(node.refused.isEmpty(), "refused");
+        assertTrue(node.refused.isEmpty(), "refused for a latency that includes the node's own lag");
     }
 }
--- a/src/test/java/cedarrelay/MechanismTest.java
+++ b/src/test/java/cedarrelay/MechanismTest.java
@@ -22,418 +22,440 @@
 import cedarrelay.Balancer.ServerState;
 import cedarrelay.Balancer.Settings;
 
-/** The ordinary path of DESIGN: weighted draws, own requests in flight, counting, pass-on, deferral. */
+/**
+ * Tests how the balancer picks a server and when it sends: weighted sampling, requests in flight, failure
+ * counts, failover, the deferred queue, concurrency limits and throttling.
+ */
 class MechanismTest {
 
     @Test
-    void aFirstTryIsNotTakenForALateOneBecauseItsClientWaitsLessThanOthers() {
-        // Guards against giving up at once what had only come slowly, where clients mark their repeats.
-        Balancer.Settings set = Node.settings();
-        set.marksRetry = true;
-        Node node = new Node(set, 7).with(3);
+    void aRequestNotMarkedAsRetryIsNotTakenForOneBecauseItsClientWaitsLess() {
+        // Guards against refusing a first request at once because it was slow to arrive and has less time
+        // left than others: where clients mark their retries, an unmarked request is not a retry.
+        Balancer.Settings settings = Node.settings();
+        settings.marksRetry = true;
+        Node node = new Node(settings, 7).withServers(3);
         for (int i = 0; i < 100; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
         }
-        assertNotNull(node.last(node.ask(Node.SAFE, 400_000)), "given up at once");
+        assertNotNull(node.latestAttempt(node.submit(Node.SAFE, 400_000)),
+                "an unmarked request was refused at once");
     }
 
     @Test
-    void twoServersWithUnequalOwnRequestsInFlightSendToTheEmptierOne() {
-        Node node = new Node().with(2);
-        String busy = node.last(node.ask(Node.SAFE)).server();
+    void ofTwoServersTheOneWithFewerRequestsInFlightIsPicked() {
+        Node node = new Node().withServers(2);
+        String busyServer = node.latestAttempt(node.submit(Node.SAFE)).serverId();
         for (int i = 0; i < 20; i++) {
-            long id = node.ask(Node.SAFE);
-            assertNotEquals(busy, node.last(id).server());
-            node.answer(id, Result.OK, 10_000);
+            long id = node.submit(Node.SAFE);
+            assertNotEquals(busyServer, node.latestAttempt(id).serverId());
+            node.completeAttempt(id, Result.OK, 10_000);
         }
     }
 
     @Test
-    void withoutErrorsTiesAreSpreadEvenly() {
-        Node node = new Node().with(4);
-        Map<String, Integer> hits = new HashMap<>();
+    void tiesBetweenServersWithoutErrorsAreSpreadEvenly() {
+        Node node = new Node().withServers(4);
+        Map<String, Integer> requestsByServer = new HashMap<>();
         for (int i = 0; i < 4_000; i++) {
-            hits.merge(node.serve(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
+            requestsByServer.merge(node.submitAndComplete(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(Math.abs(hits.get("s" + i) - 1_000) < 150, hits.toString());
+            assertTrue(Math.abs(requestsByServer.get("s" + i) - 1_000) < 150, requestsByServer.toString());
         }
     }
 
     @Test
-    void aFailureLowersTheWeightAndASuccessClearsIt() {
-        Node node = new Node().with(2);
-        long id = node.ask(Node.UNSAFE);
-        String bad = node.last(id).server();
-        node.answer(id, Result.ERROR, 1_000);
-        long held = node.ask(Node.SAFE);
-        String other = node.last(held).server();
-        // With one error the draw of two still sees both; the emptier one takes it.
-        String emptier = other.equals("s0") ? "s1" : "s0";
-        assertEquals(emptier, node.last(node.ask(Node.SAFE)).server());
-        assertTrue(List.of("s0", "s1").contains(bad));
+    void afterOneFailureTheServerWithFewerRequestsInFlightIsStillPicked() {
+        Node node = new Node().withServers(2);
+        long id = node.submit(Node.UNSAFE);
+        String failedServer = node.latestAttempt(id).serverId();
+        node.completeAttempt(id, Result.ERROR, 1_000);
+        long pending = node.submit(Node.SAFE);
+        String busyServer = node.latestAttempt(pending).serverId();
+        // One failure lowers a weight only a little, so both servers are still compared.
+        String idleServer = busyServer.equals("s0") ? "s1" : "s0";
+        assertEquals(idleServer, node.latestAttempt(node.submit(Node.SAFE)).serverId());
+        assertTrue(List.of("s0", "s1").contains(failedServer));
     }
 
     @Test
-    void aRepeatableFailureGoesToTheNextServerInListOrder() {
-        Node node = new Node().with(5);
-        long id = node.ask(Node.SAFE);
+    void aFailedSafeRequestFailsOverToTheNextServerInListOrder() {
+        Node node = new Node().withServers(5);
+        long id = node.submit(Node.SAFE);
         for (int i = 0; i < 3; i++) {
-            int from = Integer.parseInt(node.last(id).server().substring(1));
-            node.answer(id, Result.ERROR, 1_000);
-            assertEquals("s" + (from + 1) % 5, node.last(id).server());
+            int from = Integer.parseInt(node.latestAttempt(id).serverId().substring(1));
+            node.completeAttempt(id, Result.ERROR, 1_000);
+            assertEquals("s" + (from + 1) % 5, node.latestAttempt(id).serverId());
         }
-        node.answer(id, Result.ERROR, 1_000);
-        assertEquals(4, node.attempts(id));
+        node.completeAttempt(id, Result.ERROR, 1_000);
+        assertEquals(4, node.attemptCount(id));
         assertEquals(List.of(id), node.refused);
     }
 
     @Test
-    void anUnsafeRequestPassesOnOnlyWhenItSurelyNeverRan() {
-        Node node = new Node().with(3);
-        long id = node.ask(Node.UNSAFE);
-        node.answer(id, Result.CONNECT_FAILED, 1_000);
-        assertEquals(2, node.attempts(id));
-        node.answer(id, Result.RESET, 1_000);
-        assertEquals(2, node.attempts(id));
+    void anUnsafeRequestFailsOverOnlyIfItCertainlyNeverRan() {
+        Node node = new Node().withServers(3);
+        long id = node.submit(Node.UNSAFE);
+        node.completeAttempt(id, Result.CONNECT_FAILED, 1_000);
+        assertEquals(2, node.attemptCount(id));
+        node.completeAttempt(id, Result.RESET, 1_000);
+        assertEquals(2, node.attemptCount(id));
         assertEquals(List.of(id), node.failed);
     }
 
     @Test
-    void withNothingToSendToARequestWaitsAndIsServedInOrderWhenAServerComes() {
-        Node node = new Node().with(0);
-        long first = node.ask(Node.UNSAFE);
-        long second = node.ask(Node.SAFE);
-        node.advance(50_000);
+    void requestsDeferredForLackOfServersAreSentInOrderOnceThereAreSome() {
+        Node node = new Node().withServers(0);
+        long first = node.submit(Node.UNSAFE);
+        long second = node.submit(Node.SAFE);
+        node.advanceClock(50_000);
         assertTrue(node.sent.isEmpty());
-        node.list(ListKind.CHANGES, List.of(Node.server("s0"), Node.server("s1")));
-        assertEquals(List.of(first, second), node.sent.stream().map(Node.Sent::request).toList());
+        node.updateServers(ListKind.CHANGES, List.of(Node.readyServer("s0"), Node.readyServer("s1")));
+        assertEquals(List.of(first, second), node.sent.stream().map(Node.SentAttempt::requestId).toList());
     }
 
     @Test
-    void whatWaitsInVainIsRefusedBeforeTheClientsTimeIsUp() {
-        Node node = new Node(Node.lateCounts(), 7).with(0);
-        long id = node.ask(Node.UNSAFE, 300_000);
-        node.advance(299_999);
+    void aDeferredRequestThatFindsNoServerIsRefusedBeforeItsDeadline() {
+        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(0);
+        long id = node.submit(Node.UNSAFE, 300_000);
+        node.advanceClock(299_999);
         assertEquals(List.of(id), node.refused);
         assertFalse(node.failed.contains(id));
     }
 
     @Test
-    void whatNoServerHasSeenByHalfOfItsTimeIsRefusedThen() {
-        Node node = new Node(Node.lateCounts(), 7);
-        long id = node.ask(Node.SAFE, 1_000_000);
-        node.advance(450_000);
+    void aRequestThatWasNeverSentIsRefusedAfterHalfOfItsTime() {
+        Node node = new Node(Node.settingsWithLateUtility(), 7);
+        long id = node.submit(Node.SAFE, 1_000_000);
+        node.advanceClock(450_000);
         assertEquals(List.of(), node.refused);
-        node.advance(50_000);
+        node.advanceClock(50_000);
         assertEquals(List.of(id), node.refused);
     }
 
     @Test
-    void whatAServerMayHaveRunWaitsOnPastHalfOfItsTime() {
-        Node node = new Node(Node.lateCounts(), 7).with(1);
-        long id = node.ask(Node.SAFE, 1_000_000);
-        node.list(ListKind.CHANGES, List.of(new ServerEntry("s0", 0, 0, ServerState.DRAINING, 1, 0)));
-        node.answer(id, Result.ERROR, 10_000);
-        node.advance(590_000);
+    void aRequestThatMayHaveRunStaysDeferredPastHalfOfItsTime() {
+        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(1);
+        long id = node.submit(Node.SAFE, 1_000_000);
+        node.updateServers(ListKind.CHANGES, List.of(
+                new ServerEntry("s0", 0, 0, ServerState.DRAINING, 1, 0)));
+        node.completeAttempt(id, Result.ERROR, 10_000);
+        node.advanceClock(590_000);
         assertEquals(List.of(), node.refused);
-        node.list(ListKind.CHANGES, List.of(Node.server("s1")));
-        assertEquals("s1", node.last(id).server());
+        node.updateServers(ListKind.CHANGES, List.of(Node.readyServer("s1")));
+        assertEquals("s1", node.latestAttempt(id).serverId());
     }
 
-    /** The advice that the first of so many waiting clients gets, of a node with 100 answers a second. */
-    private static long adviceTo(int clients) {
-        Settings set = Node.lateCounts();
-        set.maxRetryAfterUs = 700_000;
-        Node node = new Node(set, 7).with(1);
+    /**
+     * The retry delay, in microseconds, that a node which completes 100 requests a second advises with the
+     * first refusal when {@code clients} requests are deferred.
+     */
+    private static long firstRetryAdviceUs(int clients) {
+        Settings settings = Node.settingsWithLateUtility();
+        settings.maxRetryAfterUs = 700_000;
+        Node node = new Node(settings, 7).withServers(1);
         for (int i = 0; i < 200; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
         }
-        node.list(ListKind.FULL, List.of());
+        node.updateServers(ListKind.FULL, List.of());
         for (int i = 0; i < clients; i++) {
-            node.ask(Node.SAFE, 100_000);
+            node.submit(Node.SAFE, 100_000);
         }
-        node.advance(60_000);
-        return node.advice.get(0);
+        node.advanceClock(60_000);
+        return node.retryAdviceUs.get(0);
     }
 
     @Test
-    void aRefusalTellsWhenToComeBackByWhatWaitsAndBySoMuchAtMost() {
-        assertEquals(20_000, adviceTo(1), 2_000);
-        assertEquals(110_000, adviceTo(10), 10_000);
-        assertEquals(700_000, adviceTo(100));
+    void theAdvisedRetryDelayGrowsWithTheDeferredQueueUpToItsMaximum() {
+        assertEquals(20_000, firstRetryAdviceUs(1), 2_000);
+        assertEquals(110_000, firstRetryAdviceUs(10), 10_000);
+        assertEquals(700_000, firstRetryAdviceUs(100));
     }
 
     @Test
-    void aClientsLaterTryThatComesAfterTheAimTakesNoServersTime() {
-        // Guards i9ce813: in a jam most work was for tries whose request could earn nothing any more.
-        Node node = new Node().with(2);
+    void aClientRetryThatArrivesAfterTheLatencyTargetIsNotSent() {
+        // Guards against overloaded servers that spend most of their work on retries whose requests are
+        // already past the latency target and have no utility left.
+        Node node = new Node().withServers(2);
         for (int i = 0; i < 10; i++) {
-            node.answer(node.ask(Node.SAFE, 500_000), Result.OK, 10_000);
+            node.completeAttempt(node.submit(Node.SAFE, 500_000), Result.OK, 10_000);
         }
-        long inTime = node.ask(Node.SAFE, 900_000);
-        long tooLate = node.ask(Node.SAFE, 700_000);
-        assertEquals(1, node.attempts(inTime));
-        assertEquals(0, node.attempts(tooLate));
-        assertTrue(node.refused.contains(tooLate));
+        long onTime = node.submit(Node.SAFE, 900_000);
+        long late = node.submit(Node.SAFE, 700_000);
+        assertEquals(1, node.attemptCount(onTime));
+        assertEquals(0, node.attemptCount(late));
+        assertTrue(node.refused.contains(late));
     }
 
     @Test
-    void timesLeftThatAllDifferTellNothingOfEarlierTries() {
-        Node node = new Node().with(2);
+    void requestsWithVaryingTimeLeftAreNotTakenForRetries() {
+        Node node = new Node().withServers(2);
         for (int i = 0; i < 20; i++) {
-            long id = node.ask(Node.SAFE, 200_000 + i % 10 * 70_000);
-            assertEquals(1, node.attempts(id));
-            node.answer(id, Result.OK, 10_000);
+            long id = node.submit(Node.SAFE, 200_000 + i % 10 * 70_000);
+            assertEquals(1, node.attemptCount(id));
+            node.completeAttempt(id, Result.OK, 10_000);
         }
     }
 
     @Test
-    void anAttemptThatNobodyRepeatsEndsAtTheAimAndOthersRunOn() {
-        Node node = new Node().with(3);
-        assertEquals(node.now + 200_000, node.last(node.ask(Node.UNSAFE)).untilUs());
-        assertEquals(node.now + 200_000, node.last(node.ask(Node.KEYED_CELL)).untilUs());
-        assertEquals(node.now + 1_000_000, node.last(node.ask(Node.SAFE)).untilUs());
+    void attemptsThatClientsDoNotRetryEndAtTheLatencyTargetAndOthersAtTheDeadline() {
+        Node node = new Node().withServers(3);
+        assertEquals(node.nowUs + 200_000, node.latestAttempt(node.submit(Node.UNSAFE)).untilUs());
+        assertEquals(node.nowUs + 200_000, node.latestAttempt(node.submit(Node.KEYED_CELL)).untilUs());
+        assertEquals(node.nowUs + 1_000_000, node.latestAttempt(node.submit(Node.SAFE)).untilUs());
     }
 
     @Test
-    void amongServersWithNothingInFlightTheQuickerOneIsPreferred() {
-        Node node = new Node().with(4);
-        Map<String, Integer> hits = new HashMap<>();
+    void amongIdleServersTheFasterOnesArePreferred() {
+        Node node = new Node().withServers(4);
+        Map<String, Integer> requestsByServer = new HashMap<>();
         for (int i = 0; i < 400; i++) {
-            long id = node.ask(Node.SAFE);
-            String server = node.last(id).server();
-            hits.merge(server, 1, Integer::sum);
-            node.answer(id, Result.OK, server.equals("s0") ? 60_000 : 20_000);
+            long id = node.submit(Node.SAFE);
+            String server = node.latestAttempt(id).serverId();
+            requestsByServer.merge(server, 1, Integer::sum);
+            node.completeAttempt(id, Result.OK, server.equals("s0") ? 60_000 : 20_000);
         }
-        assertTrue(hits.get("s0") < 60, hits.toString());
+        assertTrue(requestsByServer.get("s0") < 60, requestsByServer.toString());
     }
 
     @Test
-    void aServerAtItsLimitIsPassedOverAndTheQueueServesWorthFirst() {
-        Settings set = Node.settings();
-        set.classes.add(new Balancer.RequestClass("dear", 200_000, 0, 1_000_000, 9, 0, Balancer.Repeat.SAFE,
-                Balancer.Group.ALL, 0, false));
-        set.nodes = 2;
-        Node node = new Node(set, 3).with(2);
+    void serversAtTheirLimitAreSkippedAndTheQueueServesTheHighestUtilityFirst() {
+        Settings settings = Node.settings();
+        settings.classes.add(new Balancer.RequestClass("valuable", 200_000, 0, 1_000_000, 9, 0,
+                Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+        settings.nodes = 2;
+        Node node = new Node(settings, 3).withServers(2);
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            ids.add(node.ask(Node.SAFE));
+            ids.add(node.submit(Node.SAFE));
         }
-        long dear = node.ask(5);
-        // Two nodes start with room for two each at two servers: the fifth request and the dear one wait.
+        long valuable = node.submit(5);
+        // Each of two nodes starts with a limit of two at each server: the fifth and sixth request wait.
         assertEquals(4, node.sent.size());
-        node.answer(ids.get(0), Result.OK, 10_000);
-        assertEquals(dear, node.sent.get(4).request());
+        node.completeAttempt(ids.get(0), Result.OK, 10_000);
+        assertEquals(valuable, node.sent.get(4).requestId());
     }
 
     @Test
-    void slowAnswersLowerAServersLimitAndTimelyOnesRaiseIt() {
-        Node slow = new Node().with(1);
-        Node fast = new Node().with(1);
+    void slowResponsesLowerAServersConcurrencyLimitAndFastOnesRaiseIt() {
+        Node slow = new Node().withServers(1);
+        Node fast = new Node().withServers(1);
         for (int i = 0; i < 30; i++) {
-            slow.serve(Node.SAFE, Result.OK, 150_000);
-            long[] pair = {fast.ask(Node.SAFE), fast.ask(Node.SAFE)};
-            fast.answer(pair[0], Result.OK, 5_000);
-            fast.answer(pair[1], Result.OK, 5_000);
+            slow.submitAndComplete(Node.SAFE, Result.OK, 150_000);
+            long[] pair = {fast.submit(Node.SAFE), fast.submit(Node.SAFE)};
+            fast.completeAttempt(pair[0], Result.OK, 5_000);
+            fast.completeAttempt(pair[1], Result.OK, 5_000);
         }
         for (int i = 0; i < 8; i++) {
-            slow.ask(Node.SAFE);
-            fast.ask(Node.SAFE);
+            slow.submit(Node.SAFE);
+            fast.submit(Node.SAFE);
         }
         assertEquals(1, slow.sent.size() - 30);
-        assertTrue(fast.sent.size() - 60 >= 3, "sent " + fast.sent.size());
+        assertTrue(fast.sent.size() - 60 >= 3, "requests sent to the fast server: " + fast.sent.size());
     }
 
     @Test
-    void aServerThatReplacesOthersBeginsWithWhatTheyHaveLearnt() {
-        Node node = new Node(Node.lateCounts(), 7).with(1);
+    void aReplacementServerStartsWithTheConcurrencyLimitLearnedFromOthers() {
+        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(1);
         for (int round = 0; round < 20; round++) {
             List<Long> ids = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                ids.add(node.ask(Node.SAFE));
+                ids.add(node.submit(Node.SAFE));
             }
             for (long id : ids) {
-                node.answer(id, Result.OK, 100);
+                node.completeAttempt(id, Result.OK, 100);
             }
         }
-        node.list(ListKind.CHANGES, List.of(new ServerEntry("s0", 0, 0, ServerState.GONE, 1, 0),
-                Node.server("new")));
+        node.updateServers(ListKind.CHANGES, List.of(new ServerEntry("s0", 0, 0, ServerState.GONE, 1, 0),
+                Node.readyServer("new")));
         for (int i = 0; i < 20; i++) {
-            node.ask(Node.SAFE);
+            node.submit(Node.SAFE);
         }
-        // One that knows nothing of any server begins with four.
-        assertTrue(node.sentTo("new") >= 8, "sent at once: " + node.sentTo("new"));
+        // Without anything learned its limit would be four.
+        assertTrue(node.attemptsTo("new") >= 8,
+                "requests sent at once to the new server: " + node.attemptsTo("new"));
     }
 
     @Test
-    void aTenantBeyondItsShareWaitsBehindOneInsideIt() {
-        Settings set = Node.settings();
-        set.tenants.clear();
-        set.overShareWorth = 0.1;
-        set.tenants.add(new Balancer.Tenant("greedy", 1));
-        set.tenants.add(new Balancer.Tenant("modest", 100));
-        Node node = new Node(set, 3).with(1);
+    void aTenantOverItsQuotaWaitsBehindOneWithinItsQuota() {
+        Settings settings = Node.settings();
+        settings.tenants.clear();
+        settings.overShareWorth = 0.1;
+        settings.tenants.add(new Balancer.Tenant("over-quota", 1));
+        settings.tenants.add(new Balancer.Tenant("within-quota", 100));
+        Node node = new Node(settings, 3).withServers(1);
         List<Long> first = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            first.add(node.ask(Node.SAFE, 1, 1_000_000));
+            first.add(node.submit(Node.SAFE, 1, 1_000_000));
         }
-        List<Long> greedy = new ArrayList<>();
+        List<Long> overQuota = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            greedy.add(node.ask(Node.SAFE, 0, 1_000_000));
+            overQuota.add(node.submit(Node.SAFE, 0, 1_000_000));
         }
-        long modest = node.ask(Node.SAFE, 1, 1_000_000);
-        first.forEach(id -> node.answer(id, Result.OK, 1_000));
-        assertEquals(List.of(greedy.get(0), modest, greedy.get(1), greedy.get(2)),
-                node.sent.stream().skip(4).limit(4).map(Node.Sent::request).toList());
+        long withinQuota = node.submit(Node.SAFE, 1, 1_000_000);
+        first.forEach(id -> node.completeAttempt(id, Result.OK, 1_000));
+        assertEquals(List.of(overQuota.get(0), withinQuota, overQuota.get(1), overQuota.get(2)),
+                node.sent.stream().skip(4).limit(4).map(Node.SentAttempt::requestId).toList());
     }
 
     @Test
     void aServerWhoseLimitIsUnderOneGetsOneRequestAtATime() {
-        Settings set = Node.settings();
-        set.nodes = 8;
-        Node node = new Node(set, 3).with(1);
-        node.serve(Node.SAFE, Result.OK, 150_000);
-        long first = node.ask(Node.SAFE);
-        long second = node.ask(Node.SAFE);
-        assertEquals(1, node.attempts(first));
-        assertEquals(0, node.attempts(second));
-        node.answer(first, Result.OK, 20_000);
-        assertEquals(1, node.attempts(second));
+        Settings settings = Node.settings();
+        settings.nodes = 8;
+        Node node = new Node(settings, 3).withServers(1);
+        node.submitAndComplete(Node.SAFE, Result.OK, 150_000);
+        long first = node.submit(Node.SAFE);
+        long second = node.submit(Node.SAFE);
+        assertEquals(1, node.attemptCount(first));
+        assertEquals(0, node.attemptCount(second));
+        node.completeAttempt(first, Result.OK, 20_000);
+        assertEquals(1, node.attemptCount(second));
     }
 
     @Test
-    void aServerTwiceAsLargeByTheListIsDrawnMoreOftenThanTwice() {
+    void aServerOfTwiceTheWeightIsPickedMoreOftenThanTheOthers() {
         Node node = new Node();
-        node.list(ListKind.CACHED, List.of(
+        node.updateServers(ListKind.CACHED, List.of(
                 new Balancer.ServerEntry("large", 0, 0, Balancer.ServerState.READY, 2, 0),
                 new Balancer.ServerEntry("small", 0, 0, Balancer.ServerState.READY, 1, 0),
                 new Balancer.ServerEntry("same", 0, 0, Balancer.ServerState.READY, 1, 0)));
-        Map<String, Integer> hits = new HashMap<>();
+        Map<String, Integer> requestsByServer = new HashMap<>();
         for (int i = 0; i < 3_000; i++) {
-            hits.merge(node.serve(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
+            requestsByServer.merge(node.submitAndComplete(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
         }
-        assertTrue(hits.get("large") > 1_200, hits.toString());
-        assertTrue(Math.abs(hits.get("small") - hits.get("same")) < 150, hits.toString());
+        assertTrue(requestsByServer.get("large") > 1_200, requestsByServer.toString());
+        assertTrue(Math.abs(requestsByServer.get("small") - requestsByServer.get("same")) < 150,
+                requestsByServer.toString());
     }
 
     @Test
-    void aNodeAmongManyHoldsNoMoreThanTheSumOfItsLimitsAndABurst() {
-        // Guards i2064fa (one request from each node at every server choked the fleet) and i9ce813 (a node
-        // held to the bare sum kept requests back while servers were idle).
-        Settings set = Node.settings();
-        set.nodes = 32;
-        Node node = new Node(set, 3).with(32);
+    void aNodeAmongManyHasNoMoreInFlightThanTheSumOfItsLimitsAndABurst() {
+        // Guards against two faults: one request from each node at every server overloaded all servers, and
+        // a node restricted to exactly the sum of its limits deferred requests while servers were idle.
+        Settings settings = Node.settings();
+        settings.nodes = 32;
+        Node node = new Node(settings, 3).withServers(32);
         for (int i = 0; i < 32; i++) {
-            node.ask(Node.SAFE);
+            node.submit(Node.SAFE);
         }
         assertEquals(9, node.sent.size());
     }
 
     @Test
-    void answersFarSlowerThanTheirClassCanBeLowerALimitHoweverFarTheAim() {
-        Settings set = Node.settings();
-        set.classes.add(new Balancer.RequestClass("patient", 20_000_000, 0, 30_000_000, 1, 0,
+    void responsesFarSlowerThanTheClassCanBeLowerTheLimitWhateverTheLatencyTarget() {
+        Settings settings = Node.settings();
+        settings.classes.add(new Balancer.RequestClass("distant-target", 20_000_000, 0, 30_000_000, 1, 0,
                 Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
-        Node node = new Node(set, 3).with(1);
+        Node node = new Node(settings, 3).withServers(1);
         for (int i = 0; i < 80; i++) {
-            node.serve(5, Result.OK, i < 40 ? 10_000 : 200_000);
+            node.submitAndComplete(5, Result.OK, i < 40 ? 10_000 : 200_000);
         }
         int before = node.sent.size();
         for (int i = 0; i < 4; i++) {
-            node.ask(5, 30_000_000);
+            node.submit(5, 30_000_000);
         }
         assertEquals(1, node.sent.size() - before);
     }
 
     /**
-     * Guards i75e589: with the mark at half a usual latency, an overloaded fleet answered mostly late.
-     * Where servers take longer than the aim, something may still wait a while.
+     * Guards against late responses under overload: while requests stayed deferred until only half a usual
+     * latency was left before the latency target, most responses came after it. Where servers usually take
+     * longer than the latency target, a request may still be deferred for a while.
      */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
-    void whatWaitsIsRefusedWhileItStillHasAChanceAndNotAtTheLastMoment(long usualUs, long stillWaitsUs) {
-        Node node = new Node().with(1);
+    void aDeferredRequestIsRefusedWellBeforeItsLatencyTarget(long usualLatencyUs, long deferredForUs) {
+        Node node = new Node().withServers(1);
         for (int i = 0; i < 40; i++) {
-            node.serve(Node.UNSAFE, Result.OK, usualUs);
+            node.submitAndComplete(Node.UNSAFE, Result.OK, usualLatencyUs);
         }
-        node.list(ListKind.FULL, List.of());
-        long id = node.ask(Node.UNSAFE);
-        node.advance(stillWaitsUs);
+        node.updateServers(ListKind.FULL, List.of());
+        long id = node.submit(Node.UNSAFE);
+        node.advanceClock(deferredForUs);
         assertFalse(node.refused.contains(id));
-        node.advance(30_000);
+        node.advanceClock(30_000);
         assertTrue(node.refused.contains(id));
     }
 
     @Test
-    void aNodeWhoseRequestsAllComeLateSendsNearlyNothingAndComesBackQuickly() {
-        // Guards ia25714 and i6d5d9b: servers turned slow by their load, and nodes kept them busy for half
-        // a minute.
-        Node node = new Node().with(10);
-        serveAll(node, 60, 20_000);
-        int jammed = serveAll(node, 200, 300_000);
-        assertTrue(jammed <= 45, "sent while all comes late: " + jammed);
-        serveAll(node, 150, 20_000);
-        int recovered = serveAll(node, 100, 20_000);
-        assertTrue(recovered >= 50, "sent once answers are quick again: " + recovered);
+    void aNodeWhoseResponsesAreAllLateThrottlesAndRecoversQuickly() {
+        // Guards against nodes that keep servers overloaded: servers that had become slow under their load
+        // stayed so for half a minute because the nodes went on sending.
+        Node node = new Node().withServers(10);
+        submitAndCompleteAll(node, 60, 20_000);
+        int sentInOverload = submitAndCompleteAll(node, 200, 300_000);
+        assertTrue(sentInOverload <= 45, "requests sent while all responses are late: " + sentInOverload);
+        submitAndCompleteAll(node, 150, 20_000);
+        int sentAfterRecovery = submitAndCompleteAll(node, 100, 20_000);
+        assertTrue(sentAfterRecovery >= 50,
+                "requests sent once responses are fast again: " + sentAfterRecovery);
     }
 
-    /** Asks again and again, answering all that is sent; how many were sent. */
-    private static int serveAll(Node node, int asks, long latencyUs) {
+    /**
+     * Submits requests one after another, completes each one that is sent after {@code latencyUs} and pauses
+     * for 20 ms between them.
+     *
+     * @return how many requests were sent
+     */
+    private static int submitAndCompleteAll(Node node, int requests, long latencyUs) {
         int before = node.sent.size();
-        int answered = before;
-        for (int i = 0; i < asks; i++) {
-            node.ask(Node.SAFE);
-            for (; answered < node.sent.size(); answered++) {
-                node.answer(node.sent.get(answered).request(), Result.OK, latencyUs);
+        int completed = before;
+        for (int i = 0; i < requests; i++) {
+            node.submit(Node.SAFE);
+            for (; completed < node.sent.size(); completed++) {
+                node.completeAttempt(node.sent.get(completed).requestId(), Result.OK, latencyUs);
             }
-            node.advance(20_000);
+            node.advanceClock(20_000);
         }
         return node.sent.size() - before;
     }
 
     @Test
-    void aZoneFromWhichNothingComesGetsSingleRequestsUntilSomethingDoes() {
+    void aZoneThatDoesNotRespondGetsSingleRequestsUntilItDoes() {
         Node node = new Node(Node.settings(), 7);
-        List<ServerEntry> list = new ArrayList<>();
+        List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            list.add(new ServerEntry("there" + i, 1, 0, ServerState.READY, 1, 0));
+            entries.add(new ServerEntry("there" + i, 1, 0, ServerState.READY, 1, 0));
         }
-        node.list(ListKind.CACHED, list);
+        node.updateServers(ListKind.CACHED, entries);
         for (int i = 0; i < 20; i++) {
-            node.serve(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
         }
-        long silent = node.ask(Node.SAFE);
-        node.advance(20_000);
-        node.ask(Node.SAFE);
-        assertEquals(22, node.sent.size(), "two usual latencies tell nothing");
-        node.advance(20_000);
-        node.ask(Node.SAFE);
-        long held = node.ask(Node.SAFE);
-        assertEquals(23, node.sent.size(), "a single request, 20 ms after the last");
-        assertNull(node.last(held));
-        node.answer(silent, Result.OK, 5_000);
-        assertNotNull(node.last(held), "still held though the zone has answered");
+        long unanswered = node.submit(Node.SAFE);
+        node.advanceClock(20_000);
+        node.submit(Node.SAFE);
+        assertEquals(22, node.sent.size(),
+                "a zone that was silent for two usual latencies was already held back");
+        node.advanceClock(20_000);
+        node.submit(Node.SAFE);
+        long deferred = node.submit(Node.SAFE);
+        assertEquals(23, node.sent.size(),
+                "a silent zone must get a single request, 20 ms after the previous one");
+        assertNull(node.latestAttempt(deferred));
+        node.completeAttempt(unanswered, Result.OK, 5_000);
+        assertNotNull(node.latestAttempt(deferred), "still deferred although the zone has responded");
     }
 
     @Test
-    void whereCrossingCostsAFailureIsPassedOnInsideTheZoneFirst() {
-        // Guards i9ce813: a request turned away next door was passed to a server three times as far.
-        Settings set = Node.settings();
-        set.crossZonePrice = 0.01;
-        Node node = new Node(set, 3);
+    void withACrossZonePriceARejectedRequestFailsOverInsideTheZoneFirst() {
+        // Guards against requests that a server of the own zone rejected and that went at once to a zone
+        // three times as far away.
+        Settings settings = Node.settings();
+        settings.crossZonePrice = 0.01;
+        Node node = new Node(settings, 3);
         List<Balancer.ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             entries.add(new Balancer.ServerEntry("s" + i, i % 3 == 0 ? 0 : 1, 0,
                     Balancer.ServerState.READY, 1, 0));
         }
-        node.list(ListKind.CACHED, entries);
-        long id = node.ask(Node.SAFE);
-        List<String> local = List.of("s0", "s3");
-        assertTrue(local.contains(node.last(id).server()));
-        node.answer(id, Result.FULL, 1_000);
-        assertTrue(local.contains(node.last(id).server()));
-        node.answer(id, Result.FULL, 1_000);
-        assertFalse(local.contains(node.last(id).server()));
+        node.updateServers(ListKind.CACHED, entries);
+        long id = node.submit(Node.SAFE);
+        List<String> localServers = List.of("s0", "s3");
+        assertTrue(localServers.contains(node.latestAttempt(id).serverId()));
+        node.completeAttempt(id, Result.FULL, 1_000);
+        assertTrue(localServers.contains(node.latestAttempt(id).serverId()));
+        node.completeAttempt(id, Result.FULL, 1_000);
+        assertFalse(localServers.contains(node.latestAttempt(id).serverId()));
     }
 }
--- a/src/test/java/cedarrelay/Node.java
+++ b/src/test/java/cedarrelay/Node.java
@@ -16,30 +16,49 @@
 import cedarrelay.Balancer.Settings;
 import cedarrelay.Balancer.Tenant;
 
-/** A node for tests: a clock, a module and a record of what it asked for. */
+/**
+ * A proxy node for tests of the decision module: a {@link Balancer} with a manual clock, whose actions are
+ * recorded instead of carried out.
+ */
 final class Node implements Actions {
+    // Indexes of the request classes in settings().
     static final int SAFE = 0;
     static final int KEYED_ALL = 1;
     static final int KEYED_ZONE = 2;
     static final int KEYED_CELL = 3;
     static final int UNSAFE = 4;
 
-    /** An attempt as it was asked for. */
-    record Sent(long atUs, long request, int attempt, String server, long untilUs, long sendByUs) { }
+    /**
+     * An attempt that the balancer has started.
+     *
+     * @param sentAtUs when it was started
+     * @param requestId the request
+     * @param attempt its number, from 0
+     * @param serverId the server
+     * @param untilUs when it is to be abandoned
+     * @param sendByUs by when it must be written completely; {@link Actions#ANY_TIME} means at any time
+     */
+    record SentAttempt(long sentAtUs, long requestId, int attempt, String serverId, long untilUs,
+            long sendByUs) { }
 
     final Settings settings;
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
+    /** Ids of the requests that were refused. */
     final List<Long> refused = new ArrayList<>();
-    /** The advice given with each refusal. */
-    final List<Long> advice = new ArrayList<>();
+    /** The retry delay advised with each refusal, in the order of {@link #refused}; 0 for none. */
+    final List<Long> retryAdviceUs = new ArrayList<>();
+    /** Ids of the requests that failed. */
     final List<Long> failed = new ArrayList<>();
+    /** Cancelled attempts, each as request id, slash, attempt number. */
     final List<String> cancelled = new ArrayList<>();
-    final List<String> logged = new ArrayList<>();
-    final List<String> probed = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
+    /** Servers of the probes that have no result yet. */
+    final List<String> probedServers = new ArrayList<>();
+    /** How many times the server list was requested. */
     int subscriptions;
-    long now = 1_000_000;
-    private final List<Long> wakes = new ArrayList<>();
-    private long nextId = 1;
+    long nowUs = 1_000_000;
+    private final List<Long> wakeTimesUs = new ArrayList<>();
+    private long nextRequestId = 1;
     Balancer balancer;
 
     Node(Settings settings, long seed) {
@@ -51,125 +70,140 @@
         this(settings(), 7);
     }
 
+    /**
+     * Settings with two zones, one tenant without a quota and five classes of requests, whose indexes are the
+     * constants above. Late answers earn nothing; cancelling and second copies are allowed, probes are not.
+     */
     static Settings settings() {
-        Settings set = new Settings();
-        set.zones.add("here");
-        set.zones.add("there");
-        set.classes.add(requestClass("safe", Repeat.SAFE, Group.ALL));
-        set.classes.add(requestClass("keyed-all", Repeat.KEYED, Group.ALL));
-        set.classes.add(requestClass("keyed-zone", Repeat.KEYED, Group.ZONE));
-        set.classes.add(requestClass("keyed-cell", Repeat.KEYED, Group.CELL));
-        set.classes.add(requestClass("unsafe", Repeat.UNSAFE, Group.ALL));
-        set.tenants.add(new Tenant("tenant", 0));
-        set.maxAttempts = 4;
-        set.secondCopies = true;
-        set.cancel = true;
-        return set;
-    }
-
+        Settings settings = new Settings();
+        settings.zones.add("here");
+        settings.zones.add("there");
+        settings.classes.add(requestClass("safe", Repeat.SAFE, Group.ALL));
+        settings.classes.add(requestClass("keyed-all", Repeat.KEYED, Group.ALL));
+        settings.classes.add(requestClass("keyed-zone", Repeat.KEYED, Group.ZONE));
+        settings.classes.add(requestClass("keyed-cell", Repeat.KEYED, Group.CELL));
+        settings.classes.add(requestClass("unsafe", Repeat.UNSAFE, Group.ALL));
+        settings.tenants.add(new Tenant("tenant", 0));
+        settings.maxAttempts = 4;
+        settings.secondCopies = true;
+        settings.cancel = true;
+        return settings;
+    }
+
+    /** A class with a latency target of 200 ms, a deadline of 1 s and a retry window of 400 ms. */
     static RequestClass requestClass(String name, Repeat repeat, Group group) {
         return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, repeat, group, 400_000, false);
     }
 
-    /** Settings under which an answer past the aim still earns something, so that its request goes on. */
-    static Settings lateCounts() {
-        Settings set = settings();
-        set.classes.replaceAll(c -> new RequestClass(c.name(), c.aimUs(), 0, c.deadlineUs(), c.worth(), 0.5,
-                c.repeat(), c.group(), c.windowUs(), c.stream()));
-        return set;
+    /**
+     * Settings under which an answer after the latency target still has half its utility, so that late
+     * requests are sent on.
+     */
+    static Settings settingsWithLateUtility() {
+        Settings settings = settings();
+        settings.classes.replaceAll(original -> new RequestClass(original.name(), original.aimUs(), 0,
+                original.deadlineUs(), original.worth(), 0.5, original.repeat(), original.group(),
+                original.windowUs(), original.stream()));
+        return settings;
     }
 
-    static ServerEntry server(String id) {
+    /** A warm server of weight 1 in this node's zone that takes requests. */
+    static ServerEntry readyServer(String id) {
         return new ServerEntry(id, 0, 0, ServerState.READY, 1, 0);
     }
 
-    /** Gives the first list: servers s0, s1, ... all warm, in one zone and cell. */
-    Node with(int servers) {
+    /** Delivers the first list, of {@code count} warm servers s0, s1, ... in one zone and cell. */
+    Node withServers(int count) {
         List<ServerEntry> entries = new ArrayList<>();
-        for (int i = 0; i < servers; i++) {
-            entries.add(server("s" + i));
+        for (int i = 0; i < count; i++) {
+            entries.add(readyServer("s" + i));
         }
-        return list(ListKind.CACHED, entries);
+        return updateServers(ListKind.CACHED, entries);
     }
 
-    Node list(ListKind kind, List<ServerEntry> entries) {
-        balancer.onServers(now, kind, entries);
+    /** Delivers a server list or changes of it. */
+    Node updateServers(ListKind kind, List<ServerEntry> entries) {
+        balancer.onServers(nowUs, kind, entries);
         return this;
     }
 
-    long ask(int classIndex) {
-        return ask(classIndex, 1_000_000);
+    /** Submits a request whose client waits for one second; returns its id. */
+    long submit(int classIndex) {
+        return submit(classIndex, 1_000_000);
     }
 
-    long ask(int classIndex, long leftUs) {
-        return ask(classIndex, 0, leftUs);
+    /** Submits a request whose client waits for {@code leftUs}; returns its id. */
+    long submit(int classIndex, long leftUs) {
+        return submit(classIndex, 0, leftUs);
     }
 
-    long ask(int classIndex, int tenant, long leftUs) {
-        long id = nextId++;
-        balancer.onRequest(now, new Request(id, classIndex, tenant, leftUs, 0, false));
+    /** Submits a request of a tenant, given by its index; returns its id. */
+    long submit(int classIndex, int tenant, long leftUs) {
+        long id = nextRequestId++;
+        balancer.onRequest(nowUs, new Request(id, classIndex, tenant, leftUs, 0, false));
         return id;
     }
 
-    /** The newest attempt of a request, or null. */
-    Sent last(long request) {
+    /** The latest attempt of a request, or null if none was sent. */
+    SentAttempt latestAttempt(long requestId) {
         for (int i = sent.size() - 1; i >= 0; i--) {
-            if (sent.get(i).request == request) {
+            if (sent.get(i).requestId == requestId) {
                 return sent.get(i);
             }
         }
         return null;
     }
 
-    int attempts(long request) {
-        return (int) sent.stream().filter(s -> s.request == request).count();
+    int attemptCount(long requestId) {
+        return (int) sent.stream().filter(attempt -> attempt.requestId == requestId).count();
     }
 
-    long sentTo(String server) {
-        return sent.stream().filter(s -> s.server.equals(server)).count();
+    /** How many attempts were sent to a server. */
+    long attemptsTo(String serverId) {
+        return sent.stream().filter(attempt -> attempt.serverId.equals(serverId)).count();
     }
 
-    /** Ends a request's newest attempt after some time. */
-    void answer(long request, Result result, long afterUs) {
-        advance(afterUs);
-        Sent attempt = last(request);
-        balancer.onOutcome(now, new Outcome(request, attempt.attempt, result, now - attempt.atUs,
+    /** Advances the clock by {@code afterUs}, then reports the outcome of a request's latest attempt. */
+    void completeAttempt(long requestId, Result result, long afterUs) {
+        advanceClock(afterUs);
+        SentAttempt attempt = latestAttempt(requestId);
+        balancer.onOutcome(nowUs, new Outcome(requestId, attempt.attempt, result, nowUs - attempt.sentAtUs,
                 result == Result.OK, null));
     }
 
-    /** One request sent and ended; its server. */
-    String serve(int classIndex, Result result, long afterUs) {
-        long id = ask(classIndex);
-        String server = last(id).server;
-        answer(id, result, afterUs);
-        return server;
+    /** Submits a request and completes its first attempt after {@code afterUs}; returns its server. */
+    String submitAndComplete(int classIndex, Result result, long afterUs) {
+        long id = submit(classIndex);
+        String serverId = latestAttempt(id).serverId;
+        completeAttempt(id, result, afterUs);
+        return serverId;
     }
 
-    /** Ends all probes without an answer. */
-    void endProbes() {
-        List<String> open = new ArrayList<>(probed);
-        probed.clear();
-        open.forEach(server -> balancer.onProbe(now, server, Result.TIMEOUT, 60_000, null));
+    /** Reports a timeout for every pending probe. */
+    void timeOutProbes() {
+        List<String> pending = new ArrayList<>(probedServers);
+        probedServers.clear();
+        pending.forEach(serverId -> balancer.onProbe(nowUs, serverId, Result.TIMEOUT, 60_000, null));
     }
 
-    /** Moves the clock on, firing the wake-ups that come due. */
-    void advance(long us) {
-        long until = now + us;
+    /** Advances the clock and calls {@link Balancer#onWake} at each wake-up time on the way. */
+    void advanceClock(long durationUs) {
+        long untilUs = nowUs + durationUs;
         while (true) {
-            long first = wakes.stream().mapToLong(w -> w).min().orElse(Long.MAX_VALUE);
-            if (first > until) {
+            long firstUs = wakeTimesUs.stream().mapToLong(atUs -> atUs).min().orElse(Long.MAX_VALUE);
+            if (firstUs > untilUs) {
                 break;
             }
-            wakes.remove(first);
-            now = Math.max(now, first);
-            balancer.onWake(now);
+            wakeTimesUs.remove(firstUs);
+            nowUs = Math.max(nowUs, firstUs);
+            balancer.onWake(nowUs);
         }
-        now = until;
+        nowUs = untilUs;
     }
 
     @Override
     public void send(long requestId, String serverId, long untilUs, long sendByUs) {
-        sent.add(new Sent(now, requestId, attempts(requestId), serverId, untilUs, sendByUs));
+        sent.add(new SentAttempt(nowUs, requestId, attemptCount(requestId), serverId, untilUs, sendByUs));
     }
 
     @Override
@@ -180,7 +214,7 @@
     @Override
     public void refuse(long requestId, long retryAfterUs) {
         refused.add(requestId);
-        advice.add(retryAfterUs);
+        retryAdviceUs.add(retryAfterUs);
     }
 
     @Override
@@ -190,12 +224,12 @@
 
     @Override
     public void wakeAt(long atUs) {
-        wakes.add(atUs);
+        wakeTimesUs.add(atUs);
     }
 
     @Override
     public void probe(String serverId) {
-        probed.add(serverId);
+        probedServers.add(serverId);
     }
 
     @Override
@@ -205,6 +239,6 @@
 
     @Override
     public void log(String line) {
-        logged.add(line);
+        logLines.add(line);
     }
 }
--- a/src/test/java/cedarrelay/RandomEventsTest.java
+++ b/src/test/java/cedarrelay/RandomEventsTest.java
@@ -27,163 +27,188 @@
 import cedarrelay.Balancer.ServerState;
 import cedarrelay.Balancer.Settings;
 
-/** Long odd sequences of events with fixed seeds; what the module does is held against all four rules. */
+/**
+ * Runs long random sequences of events with fixed seeds and checks each action of the balancer against its
+ * four rules:
+ * <ol>
+ * <li>each request gets exactly one final answer, before the client's deadline;
+ * <li>no request is sent again where that could take effect twice;
+ * <li>nothing is sent to a draining or removed server;
+ * <li>a server in slow start is not overloaded.
+ * </ol>
+ */
 class RandomEventsTest {
 
-    /** An attempt as the judge knows it. */
+    /** An attempt as the checker has recorded it; {@code result} is null while it is pending. */
     private static final class Attempt {
         ServerEntry server;
-        long sentAt;
+        long sentAtUs;
         Result result;
     }
 
-    /** A probe's end to come. */
-    private record Echo(long atUs, String server) { }
+    /** When a pending probe will end. */
+    private record PendingProbe(long atUs, String serverId) { }
 
-    /** A request as the judge knows it. */
-    private static final class Held {
-        RequestClass cls;
-        long deadlineAt;
-        boolean over;
+    /** A request as the checker has recorded it. */
+    private static final class TrackedRequest {
+        RequestClass requestClass;
+        long deadlineAtUs;
+        boolean ended;
         final List<Attempt> attempts = new ArrayList<>();
 
-        Attempt binding() {
-            return attempts.stream().filter(a -> a.result == null || !a.result.neverRan)
+        /** The first attempt that the server may have executed, or null. */
+        Attempt firstThatMayHaveRun() {
+            return attempts.stream().filter(attempt -> attempt.result == null || !attempt.result.neverRan)
                     .findFirst().orElse(null);
         }
     }
 
-    /** Plays a node's part and fails the test on the first broken rule. */
-    private static final class Judge implements Balancer.Actions {
+    /** Stands in for a node and fails the test on the first action that violates a rule. */
+    private static final class RuleChecker implements Balancer.Actions {
         final SplittableRandom random;
-        final Settings set = Node.settings();
+        final Settings settings = Node.settings();
         final Balancer balancer;
-        final Map<Long, Held> held = new LinkedHashMap<>();
+        /** All requests so far, by id. */
+        final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
         final Map<String, ServerEntry> servers = new LinkedHashMap<>();
-        final Map<ServerEntry, List<long[]>> coldSends = new LinkedHashMap<>();
-        final PriorityQueue<long[]> answers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-        final PriorityQueue<Echo> echoes = new PriorityQueue<>(Comparator.comparingLong(Echo::atUs));
+        /** By server in slow start, for each send: its time and how many servers were ready then. */
+        final Map<ServerEntry, List<long[]>> slowStartSends = new LinkedHashMap<>();
+        /** Outcomes to come: time, request id, number of the attempt, ordinal of the {@link Result}. */
+        final PriorityQueue<long[]> pendingOutcomes = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
+        final PriorityQueue<PendingProbe> pendingProbes = new PriorityQueue<>(
+                Comparator.comparingLong(PendingProbe::atUs));
         int probes;
-        final PriorityQueue<Long> wakes = new PriorityQueue<>();
+        final PriorityQueue<Long> wakeTimesUs = new PriorityQueue<>();
         final StringBuilder trace = new StringBuilder();
-        long now = 5_000_000;
-        long nextId = 1;
+        long nowUs = 5_000_000;
+        long nextRequestId = 1;
         long served;
-        int finals;
+        int finalAnswers;
 
-        Judge(long seed) {
+        RuleChecker(long seed) {
             random = new SplittableRandom(seed);
-            set.classes.replaceAll(c -> new RequestClass(c.name(), c.aimUs(), 0, c.deadlineUs(), c.worth(),
-                    random.nextInt(2) * 0.5, c.repeat(), c.group(), 80_000, false));
-            set.nodes = 1 + random.nextInt(5);
-            set.maxAttempts = 1 + random.nextInt(5);
-            set.cancel = random.nextBoolean();
-            set.secondCopies = random.nextBoolean();
-            set.probes = random.nextBoolean();
-            set.nodes *= random.nextBoolean() ? 1 : 10;
-            set.listOnRequest = random.nextBoolean();
-            set.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
-            set.tickUs = 1_000 * (1 + random.nextInt(5));
-            set.drainGraceUs = 0;
-            set.coldUs = 8_000_000;
-            set.coldFrom = 0.2;
-            balancer = new ServiceQBalancer(set, seed, this);
+            settings.classes.replaceAll(original -> new RequestClass(original.name(), original.aimUs(), 0,
+                    original.deadlineUs(), original.worth(), random.nextInt(2) * 0.5, original.repeat(),
+                    original.group(), 80_000, false));
+            settings.nodes = 1 + random.nextInt(5);
+            settings.maxAttempts = 1 + random.nextInt(5);
+            settings.cancel = random.nextBoolean();
+            settings.secondCopies = random.nextBoolean();
+            settings.probes = random.nextBoolean();
+            settings.nodes *= random.nextBoolean() ? 1 : 10;
+            settings.listOnRequest = random.nextBoolean();
+            settings.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
+            settings.tickUs = 1_000 * (1 + random.nextInt(5));
+            settings.drainGraceUs = 0;
+            settings.coldUs = 8_000_000;
+            settings.coldFrom = 0.2;
+            balancer = new ServiceQBalancer(settings, seed, this);
         }
 
         @Override
         public void send(long requestId, String serverId, long untilUs, long sendByUs) {
-            trace.append(now).append(" send ").append(requestId).append(serverId).append('\n');
-            Held request = held.get(requestId);
+            trace.append(nowUs).append(" send ").append(requestId).append(serverId).append('\n');
+            TrackedRequest request = requests.get(requestId);
             ServerEntry server = servers.get(serverId);
-            assertNotNull(request, "a request that is held");
-            assertFalse(request.over, "rule 1: nothing is sent after the end");
-            assertTrue(untilUs <= request.deadlineAt, "rule 1: inside the client's time");
-            assertTrue(now < request.deadlineAt, "rule 1: time is left");
-            assertTrue(request.attempts.size() < set.maxAttempts);
-            Attempt binding = request.binding();
-            if (binding != null) {
-                assertTrue(request.cls.repeat() != Repeat.UNSAFE, "rule 2: an unsafe request may have run");
-                if (request.cls.repeat() == Repeat.KEYED) {
-                    assertTrue(now <= binding.sentAt + request.cls.windowUs(), "rule 2: inside the window");
-                    assertTrue(sameGroup(request.cls.group(), binding.server, server),
-                            "rule 2: in the group");
+            assertNotNull(request, "an attempt was sent for an unknown request");
+            assertFalse(request.ended, "rule 1: an attempt was sent after the request had ended");
+            assertTrue(untilUs <= request.deadlineAtUs,
+                    "rule 1: an attempt may run past the client's deadline");
+            assertTrue(nowUs < request.deadlineAtUs,
+                    "rule 1: an attempt was sent after the client's deadline");
+            assertTrue(request.attempts.size() < settings.maxAttempts);
+            Attempt firstPossibleRun = request.firstThatMayHaveRun();
+            if (firstPossibleRun != null) {
+                assertTrue(request.requestClass.repeat() != Repeat.UNSAFE,
+                        "rule 2: an unsafe request that may have run was sent again");
+                if (request.requestClass.repeat() == Repeat.KEYED) {
+                    assertTrue(nowUs <= firstPossibleRun.sentAtUs + request.requestClass.windowUs(),
+                            "rule 2: a keyed request was sent again after its window");
+                    assertTrue(sameGroup(request.requestClass.group(), firstPossibleRun.server, server),
+                            "rule 2: a keyed request was sent again outside its group");
                 }
-                assertTrue(set.secondCopies || request.attempts.stream().allMatch(a -> a.result != null));
+                assertTrue(settings.secondCopies
+                        || request.attempts.stream().allMatch(earlier -> earlier.result != null));
             }
-            assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
-            if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.coldUs) {
-                coldSends.computeIfAbsent(server, k -> new ArrayList<>()).add(new long[] {now, ready()});
+            assertTrue(server.state() == ServerState.READY,
+                    "rule 3: an attempt was sent to a draining or removed server");
+            if (server.startedAtUs() > 0 && nowUs < server.startedAtUs() + settings.coldUs) {
+                slowStartSends.computeIfAbsent(server, key -> new ArrayList<>())
+                        .add(new long[] {nowUs, readyServers()});
             }
             Attempt attempt = new Attempt();
             attempt.server = server;
-            attempt.sentAt = now;
+            attempt.sentAtUs = nowUs;
             request.attempts.add(attempt);
             boolean timesOut = random.nextInt(30) == 0;
-            long at = timesOut ? untilUs : Math.min(untilUs, now + 1_000 + random.nextInt(120_000));
-            answers.add(new long[] {at, requestId, request.attempts.size() - 1,
-                timesOut || at == untilUs ? Result.TIMEOUT.ordinal() : draw()});
+            long endsAtUs = timesOut ? untilUs : Math.min(untilUs, nowUs + 1_000 + random.nextInt(120_000));
+            pendingOutcomes.add(new long[] {endsAtUs, requestId, request.attempts.size() - 1,
+                timesOut || endsAtUs == untilUs ? Result.TIMEOUT.ordinal() : randomResult()});
         }
 
-        private int draw() {
-            Result[] bad = {Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.MOOT};
-            return (random.nextInt(8) > 0 ? Result.OK : bad[random.nextInt(bad.length)]).ordinal();
+        /** The ordinal of a random result, a success in most cases. */
+        private int randomResult() {
+            Result[] failures = {Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.MOOT};
+            return (random.nextInt(8) > 0 ? Result.OK : failures[random.nextInt(failures.length)]).ordinal();
         }
 
         private static boolean sameGroup(Group group, ServerEntry a, ServerEntry b) {
             return group == Group.ALL || (group == Group.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
-        private void finish(long id, boolean refusal) {
-            trace.append(now).append(refusal ? " refuse " : " fail ").append(id).append('\n');
-            Held request = held.get(id);
+        private void recordFinalAnswer(long id, boolean refused) {
+            trace.append(nowUs).append(refused ? " refuse " : " fail ").append(id).append('\n');
+            TrackedRequest request = requests.get(id);
             assertNotNull(request);
-            assertFalse(request.over, "rule 1: one final answer only");
-            assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
-            if (refusal && request.binding() != null) {
-                assertTrue(request.cls.repeat() == Repeat.SAFE
-                        || request.cls.repeat() == Repeat.KEYED && request.cls.group() == Group.ALL,
-                        "rule 2: a refusal promises that trying again is harmless");
+            assertFalse(request.ended, "rule 1: a request got a second final answer");
+            assertTrue(nowUs <= request.deadlineAtUs + settings.tickUs,
+                    "rule 1: the final answer came after the client's deadline");
+            if (refused && request.firstThatMayHaveRun() != null) {
+                assertTrue(request.requestClass.repeat() == Repeat.SAFE
+                        || request.requestClass.repeat() == Repeat.KEYED
+                        && request.requestClass.group() == Group.ALL,
+                        "rule 2: a request was refused although a retry may take effect twice");
             }
-            request.over = true;
-            finals++;
+            request.ended = true;
+            finalAnswers++;
         }
 
         @Override
         public void refuse(long requestId, long retryAfterUs) {
-            finish(requestId, true);
+            recordFinalAnswer(requestId, true);
         }
 
         @Override
         public void fail(long requestId) {
-            finish(requestId, false);
+            recordFinalAnswer(requestId, false);
         }
 
         @Override
         public void cancel(long requestId, int attempt) {
-            assertTrue(set.cancel);
-            Attempt out = held.get(requestId).attempts.get(attempt);
-            if (out.result == null) {
-                answers.removeIf(a -> a[1] == requestId && a[2] == attempt);
-                answers.add(new long[] {now, requestId, attempt, Result.CANCELLED.ordinal()});
+            assertTrue(settings.cancel);
+            Attempt cancelled = requests.get(requestId).attempts.get(attempt);
+            if (cancelled.result == null) {
+                pendingOutcomes.removeIf(outcome -> outcome[1] == requestId && outcome[2] == attempt);
+                pendingOutcomes.add(new long[] {nowUs, requestId, attempt, Result.CANCELLED.ordinal()});
             }
         }
 
         @Override
         public void wakeAt(long atUs) {
-            assertTrue(atUs > now);
-            wakes.add(atUs);
+            assertTrue(atUs > nowUs);
+            wakeTimesUs.add(atUs);
         }
 
         @Override
         public void probe(String serverId) {
-            assertTrue(set.probes);
+            assertTrue(settings.probes);
             probes++;
-            echoes.add(new Echo(now + 500 + random.nextInt(40_000), serverId));
+            pendingProbes.add(new PendingProbe(nowUs + 500 + random.nextInt(40_000), serverId));
         }
 
         @Override
         public void subscribe() {
-            assertTrue(set.listOnRequest);
+            assertTrue(settings.listOnRequest);
         }
 
         @Override
@@ -191,130 +216,143 @@
             trace.append(line).append('\n');
         }
 
-        void ask() {
-            Held request = new Held();
-            int classIndex = random.nextInt(set.classes.size());
-            request.cls = set.classes.get(classIndex);
-            long left = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
-            request.deadlineAt = now + left;
-            long id = nextId++;
-            held.put(id, request);
-            balancer.onRequest(now, new Request(id, classIndex, random.nextInt(2) - 1, left, 0, false));
+        void submitRandomRequest() {
+            TrackedRequest request = new TrackedRequest();
+            int classIndex = random.nextInt(settings.classes.size());
+            request.requestClass = settings.classes.get(classIndex);
+            long leftUs = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
+            request.deadlineAtUs = nowUs + leftUs;
+            long id = nextRequestId++;
+            requests.put(id, request);
+            balancer.onRequest(nowUs, new Request(id, classIndex, random.nextInt(2) - 1, leftUs, 0, false));
         }
 
-        void changeList() {
+        void applyRandomListChange() {
             List<ServerEntry> changes = new ArrayList<>();
             for (int i = 0; i < 1 + random.nextInt(3); i++) {
                 int number = random.nextInt(9);
                 ServerState state = ServerState.values()[Math.max(0, random.nextInt(5) - 2)];
                 ServerEntry entry = new ServerEntry("s" + number, number % 2, number % 3, state, 1,
-                        state == ServerState.READY && random.nextInt(3) == 0 ? now : 0);
+                        state == ServerState.READY && random.nextInt(3) == 0 ? nowUs : 0);
                 if (servers.containsKey(entry.id()) || state != ServerState.GONE) {
                     changes.add(entry);
                 }
             }
             if (random.nextInt(6) == 0) {
-                changes.removeIf(e -> e.state() == ServerState.GONE);
-                servers.replaceAll((id, e) -> new ServerEntry(id, e.zone(), e.cell(), ServerState.GONE, 1,
-                        e.startedAtUs()));
-                changes.forEach(e -> servers.put(e.id(), e));
-                balancer.onServers(now, ListKind.FULL, changes);
+                changes.removeIf(entry -> entry.state() == ServerState.GONE);
+                servers.replaceAll((id, old) -> new ServerEntry(id, old.zone(), old.cell(), ServerState.GONE,
+                        1, old.startedAtUs()));
+                changes.forEach(entry -> servers.put(entry.id(), entry));
+                balancer.onServers(nowUs, ListKind.FULL, changes);
             } else {
-                changes.forEach(e -> servers.put(e.id(), e));
-                balancer.onServers(now, ListKind.CHANGES, changes);
+                changes.forEach(entry -> servers.put(entry.id(), entry));
+                balancer.onServers(nowUs, ListKind.CHANGES, changes);
             }
         }
 
-        void answer(long[] due) {
-            Held request = held.get(due[1]);
-            Attempt attempt = request.attempts.get((int) due[2]);
-            attempt.result = Result.values()[(int) due[3]];
-            if (attempt.result == Result.OK && !request.over) {
-                request.over = true;
-                finals++;
+        /** Reports an outcome, given as in {@link #pendingOutcomes}. */
+        void reportOutcome(long[] outcome) {
+            TrackedRequest request = requests.get(outcome[1]);
+            Attempt attempt = request.attempts.get((int) outcome[2]);
+            attempt.result = Result.values()[(int) outcome[3]];
+            if (attempt.result == Result.OK && !request.ended) {
+                request.ended = true;
+                finalAnswers++;
                 served++;
             }
-            balancer.onOutcome(now, new Outcome(due[1], (int) due[2], attempt.result, now - attempt.sentAt,
-                    request.over, null));
+            balancer.onOutcome(nowUs, new Outcome(outcome[1], (int) outcome[2], attempt.result,
+                    nowUs - attempt.sentAtUs, request.ended, null));
         }
 
+        /** Processes this many random events, then waits until each request and attempt has ended. */
         void run(int events) {
-            balancer.onServers(now, ListKind.CACHED, List.of());
+            balancer.onServers(nowUs, ListKind.CACHED, List.of());
             for (int i = 0; i < 5; i++) {
-                changeList();
+                applyRandomListChange();
             }
-            long nextEvent = now;
-            for (int done = 0; done < events || !answers.isEmpty() || open() > 0;) {
-                long at = done < events ? nextEvent : Long.MAX_VALUE;
-                at = Math.min(at, answers.isEmpty() ? Long.MAX_VALUE : answers.peek()[0]);
-                at = Math.min(at, echoes.isEmpty() ? Long.MAX_VALUE : echoes.peek().atUs());
-                at = Math.min(at, wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek());
-                assertTrue(at < Long.MAX_VALUE, "rule 1: requests held and nothing to wake the module");
-                now = Math.max(now, at);
-                if (!answers.isEmpty() && answers.peek()[0] <= now) {
-                    answer(answers.poll());
-                } else if (!echoes.isEmpty() && echoes.peek().atUs() <= now) {
-                    Result[] ends = {Result.OK, Result.OK, Result.FULL, Result.TIMEOUT};
-                    balancer.onProbe(now, echoes.poll().server(), ends[random.nextInt(4)], 1_000, null);
-                } else if (!wakes.isEmpty() && wakes.peek() <= now) {
-                    wakes.poll();
-                    balancer.onWake(now);
+            long nextEventUs = nowUs;
+            for (int done = 0; done < events || !pendingOutcomes.isEmpty() || pendingRequests() > 0;) {
+                long nextUs = done < events ? nextEventUs : Long.MAX_VALUE;
+                nextUs = Math.min(nextUs,
+                        pendingOutcomes.isEmpty() ? Long.MAX_VALUE : pendingOutcomes.peek()[0]);
+                nextUs = Math.min(nextUs,
+                        pendingProbes.isEmpty() ? Long.MAX_VALUE : pendingProbes.peek().atUs());
+                nextUs = Math.min(nextUs, wakeTimesUs.isEmpty() ? Long.MAX_VALUE : wakeTimesUs.peek());
+                assertTrue(nextUs < Long.MAX_VALUE,
+                        "rule 1: requests are pending and the balancer has asked for no wake-up");
+                nowUs = Math.max(nowUs, nextUs);
+                if (!pendingOutcomes.isEmpty() && pendingOutcomes.peek()[0] <= nowUs) {
+                    reportOutcome(pendingOutcomes.poll());
+                } else if (!pendingProbes.isEmpty() && pendingProbes.peek().atUs() <= nowUs) {
+                    Result[] probeResults = {Result.OK, Result.OK, Result.FULL, Result.TIMEOUT};
+                    balancer.onProbe(nowUs, pendingProbes.poll().serverId(), probeResults[random.nextInt(4)],
+                            1_000, null);
+                } else if (!wakeTimesUs.isEmpty() && wakeTimesUs.peek() <= nowUs) {
+                    wakeTimesUs.poll();
+                    balancer.onWake(nowUs);
                 } else {
                     done++;
-                    nextEvent = now + random.nextInt(30_000);
-                    int what = random.nextInt(100);
-                    if (what < 2) {
-                        changeList();
-                    } else if (what < 3) {
-                        balancer.onListFailed(now);
-                    } else if (what < 5 && nextId > 1) {
-                        leave(1 + random.nextLong(nextId - 1));
+                    nextEventUs = nowUs + random.nextInt(30_000);
+                    int eventKind = random.nextInt(100);
+                    if (eventKind < 2) {
+                        applyRandomListChange();
+                    } else if (eventKind < 3) {
+                        balancer.onListFailed(nowUs);
+                    } else if (eventKind < 5 && nextRequestId > 1) {
+                        disconnectClient(1 + random.nextLong(nextRequestId - 1));
                     } else {
-                        ask();
+                        submitRandomRequest();
                     }
                 }
             }
         }
 
-        private long ready() {
-            return servers.values().stream().filter(e -> e.state() == ServerState.READY).count();
+        private long readyServers() {
+            return servers.values().stream().filter(entry -> entry.state() == ServerState.READY).count();
         }
 
-        private long open() {
-            return held.values().stream().filter(h -> !h.over).count();
+        private long pendingRequests() {
+            return requests.values().stream().filter(request -> !request.ended).count();
         }
 
-        private void leave(long id) {
-            Held request = held.get(id);
-            if (!request.over) {
-                request.over = true;
-                finals++;
+        private void disconnectClient(long id) {
+            TrackedRequest request = requests.get(id);
+            if (!request.ended) {
+                request.ended = true;
+                finalAnswers++;
             }
-            balancer.onClientGone(now, id);
+            balancer.onClientGone(nowUs, id);
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-    void allRulesHoldOverOddSequences(long seed) {
-        Judge judge = new Judge(seed);
-        judge.run(1_500);
-        assertEquals(judge.held.size(), judge.finals, "rule 1: every request has its one final answer");
-        assertTrue(judge.served > 100, "the run must do real work: " + judge.served);
-        // Rule 4: in any span this node stays under its part of the multiple of what a cold server can
-        // do, taking its answers over the servers then ready (three at most: many are always gone) as its
-        // part of what a warm one does; two requests more are chance.
-        double rate = judge.served / ((judge.now - 5_000_000) / 1e6);
-        Settings set = judge.set;
-        judge.coldSends.forEach((start, sends) -> {
-            for (long[] first : sends) {
-                List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.fallUs).toList();
-                double ready = Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age = Math.min(1, (first[0] + set.fallUs - start.startedAtUs()) / (double) set.coldUs);
-                double share = set.coldFrom + (1 - set.coldFrom) * age;
-                assertTrue(span.size() - 2 <= set.fallMultiple * share * rate / ready * set.fallUs / 1e6,
-                        "rule 4: " + span.size() + " sends in one span");
+    void allRulesHoldForRandomEventSequences(long seed) {
+        RuleChecker checker = new RuleChecker(seed);
+        checker.run(1_500);
+        assertEquals(checker.requests.size(), checker.finalAnswers,
+                "rule 1: each request must get exactly one final answer");
+        assertTrue(checker.served > 100,
+                "too few requests were served for the run to mean anything: " + checker.served);
+        // Rule 4: within any fallUs the node sends to a server in slow start no more than its part of
+        // fallMultiple times the server's capacity. Its part of a warm server's capacity is taken to be its
+        // rate of served requests over the ready servers (three at most, as many are always removed). Two
+        // requests more are allowed for chance.
+        double servedPerS = checker.served / ((checker.nowUs - 5_000_000) / 1e6);
+        Settings settings = checker.settings;
+        checker.slowStartSends.forEach((server, sends) -> {
+            for (long[] firstSend : sends) {
+                List<long[]> sendsInSpan = sends.stream()
+                        .filter(send -> send[0] >= firstSend[0]
+                                && send[0] < firstSend[0] + settings.fallUs).toList();
+                double readyServers = Math.min(3,
+                        sendsInSpan.stream().mapToLong(send -> send[1]).min().getAsLong());
+                double warmUpProgress = Math.min(1,
+                        (firstSend[0] + settings.fallUs - server.startedAtUs()) / (double) settings.coldUs);
+                double share = settings.coldFrom + (1 - settings.coldFrom) * warmUpProgress;
+                assertTrue(sendsInSpan.size() - 2 <= settings.fallMultiple * share * servedPerS
+                                / readyServers * settings.fallUs / 1e6,
+                        "rule 4: " + sendsInSpan.size() + " sends to a server in slow start within fallUs");
             }
         });
     }
@@ -322,10 +360,10 @@
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
     void theSameEventsAndSeedGiveTheSameActions(long seed) {
-        Judge one = new Judge(seed);
-        Judge two = new Judge(seed);
-        one.run(800);
-        two.run(800);
-        assertEquals(one.trace.toString(), two.trace.toString());
+        RuleChecker first = new RuleChecker(seed);
+        RuleChecker second = new RuleChecker(seed);
+        first.run(800);
+        second.run(800);
+        assertEquals(first.trace.toString(), second.trace.toString());
     }
 }
--- a/src/test/java/cedarrelay/RulesTest.java
+++ b/src/test/java/cedarrelay/RulesTest.java
@@ -19,14 +19,21 @@
 import cedarrelay.Balancer.ServerState;
 import cedarrelay.Balancer.Settings;
 
-/** Rules 1 to 3 in named cases. */
+/**
+ * Tests what the balancer guarantees for each request: one final answer before the client's deadline, no
+ * retry that could take effect twice, and nothing sent to a draining or removed server. Also how it requests
+ * the server list and what it rejects.
+ */
 class RulesTest {
 
-    private static ServerEntry in(String id, int zone, int cell, ServerState state) {
+    private static ServerEntry server(String id, int zone, int cell, ServerState state) {
         return new ServerEntry(id, zone, cell, state, 1, 0);
     }
 
-    /** After a first attempt that ends so: does another follow, and else which final answer? */
+    /**
+     * What follows a first attempt with the given result: "again" means another attempt, "failed" that the
+     * request fails.
+     */
     @ParameterizedTest
     @CsvSource({
         "0, ERROR, again", "0, FULL, again", "0, TIMEOUT, again", "0, CONNECT_FAILED, again",
@@ -38,12 +45,12 @@
         "4, ERROR, failed", "4, FULL, again", "4, TIMEOUT, failed", "4, CONNECT_FAILED, again",
         "4, RESET, failed",
         "4, CANCELLED, failed", "4, MOOT, again"})
-    void repeatsFollowTheClass(int classIndex, Result result, String then) {
-        Node node = new Node().with(4);
-        long id = node.ask(classIndex);
-        node.answer(id, result, 1_000);
-        assertEquals(then.equals("again") ? 2 : 1, node.attempts(id));
-        assertEquals(then.equals("failed") ? List.of(id) : List.of(), node.failed);
+    void retriesDependOnTheRequestClassAndTheResult(int classIndex, Result result, String expected) {
+        Node node = new Node().withServers(4);
+        long id = node.submit(classIndex);
+        node.completeAttempt(id, result, 1_000);
+        assertEquals(expected.equals("again") ? 2 : 1, node.attemptCount(id));
+        assertEquals(expected.equals("failed") ? List.of(id) : List.of(), node.failed);
         assertEquals(List.of(), node.refused);
     }
 
@@ -51,35 +58,35 @@
     void aKeyedRequestThatMayHaveRunStaysInItsCellAndZone() {
         for (int classIndex : new int[] {Node.KEYED_CELL, Node.KEYED_ZONE}) {
             Node node = new Node();
-            node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY),
-                    in("x", 1, 2, ServerState.READY),
-                    in("b", 0, 1, ServerState.READY), in("y", 1, 2, ServerState.READY)));
-            long id = node.ask(classIndex);
-            String first = node.last(id).server();
-            node.answer(id, Result.RESET, 1_000);
-            String second = node.last(id).server();
-            assertEquals(2, node.attempts(id));
+            node.updateServers(ListKind.CACHED, List.of(server("a", 0, 1, ServerState.READY),
+                    server("x", 1, 2, ServerState.READY),
+                    server("b", 0, 1, ServerState.READY), server("y", 1, 2, ServerState.READY)));
+            long id = node.submit(classIndex);
+            String first = node.latestAttempt(id).serverId();
+            node.completeAttempt(id, Result.RESET, 1_000);
+            String second = node.latestAttempt(id).serverId();
+            assertEquals(2, node.attemptCount(id));
             assertTrue((first + second).matches("ab|ba|xy|yx"), first + second);
         }
     }
 
     @Test
-    void aKeyedRequestThatSurelyNeverRanMayGoAnywhere() {
+    void aKeyedRequestThatCertainlyNeverRanMayGoToAnyServer() {
         Node node = new Node();
-        node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY),
-                    in("x", 1, 2, ServerState.READY)));
-        long id = node.ask(Node.KEYED_CELL);
-        node.answer(id, Result.FULL, 1_000);
-        assertEquals(2, node.attempts(id));
+        node.updateServers(ListKind.CACHED, List.of(server("a", 0, 1, ServerState.READY),
+                    server("x", 1, 2, ServerState.READY)));
+        long id = node.submit(Node.KEYED_CELL);
+        node.completeAttempt(id, Result.FULL, 1_000);
+        assertEquals(2, node.attemptCount(id));
     }
 
     @Test
-    void aKeyedRequestIsNotRepeatedAfterItsWindowAndRefusedOnlyIfAllDropRepeats() {
+    void aKeyedRequestIsNotRetriedAfterItsWindowAndIsRefusedOnlyIfAllServersDropRepeats() {
         for (int classIndex : new int[] {Node.KEYED_ALL, Node.KEYED_CELL}) {
-            Node node = new Node(Node.lateCounts(), 7).with(3);
-            long id = node.ask(classIndex);
-            node.answer(id, Result.ERROR, 400_001);
-            assertEquals(1, node.attempts(id));
+            Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(3);
+            long id = node.submit(classIndex);
+            node.completeAttempt(id, Result.ERROR, 400_001);
+            assertEquals(1, node.attemptCount(id));
             assertEquals(classIndex == Node.KEYED_ALL ? List.of(id) : List.of(), node.refused);
             assertEquals(classIndex == Node.KEYED_ALL ? List.of() : List.of(id), node.failed);
         }
@@ -87,158 +94,160 @@
 
     @Test
     void theWindowCountsFromTheFirstAttemptThatMayHaveRun() {
-        Node node = new Node(Node.lateCounts(), 7).with(4);
-        long id = node.ask(Node.KEYED_ALL);
-        node.answer(id, Result.CONNECT_FAILED, 300_000);
-        node.answer(id, Result.ERROR, 300_000);
-        assertEquals(3, node.attempts(id));
-        node.answer(id, Result.ERROR, 100_001);
-        assertEquals(3, node.attempts(id));
+        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(4);
+        long id = node.submit(Node.KEYED_ALL);
+        node.completeAttempt(id, Result.CONNECT_FAILED, 300_000);
+        node.completeAttempt(id, Result.ERROR, 300_000);
+        assertEquals(3, node.attemptCount(id));
+        node.completeAttempt(id, Result.ERROR, 100_001);
+        assertEquals(3, node.attemptCount(id));
     }
 
     @Test
-    void aRepeatHasToGoOutInsideTheWindowAndWhatNeverRanAtAnyTime() {
-        Node node = new Node(Node.lateCounts(), 7).with(4);
-        long id = node.ask(Node.KEYED_ALL);
-        assertEquals(Actions.ANY_TIME, node.last(id).sendByUs());
-        node.answer(id, Result.CONNECT_FAILED, 100_000);
-        assertEquals(Actions.ANY_TIME, node.last(id).sendByUs());
-        long window = node.now + 400_000;
-        node.answer(id, Result.ERROR, 100_000);
-        assertEquals(window, node.last(id).sendByUs());
-        node.answer(id, Result.ERROR, 100_000);
-        assertEquals(window, node.last(id).sendByUs());
-        long safe = node.ask(Node.SAFE);
-        node.answer(safe, Result.ERROR, 100_000);
-        assertEquals(Actions.ANY_TIME, node.last(safe).sendByUs());
+    void aRetryMustBeSentInsideTheWindowUnlessNoAttemptCanHaveRun() {
+        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(4);
+        long id = node.submit(Node.KEYED_ALL);
+        assertEquals(Actions.ANY_TIME, node.latestAttempt(id).sendByUs());
+        node.completeAttempt(id, Result.CONNECT_FAILED, 100_000);
+        assertEquals(Actions.ANY_TIME, node.latestAttempt(id).sendByUs());
+        long windowEndUs = node.nowUs + 400_000;
+        node.completeAttempt(id, Result.ERROR, 100_000);
+        assertEquals(windowEndUs, node.latestAttempt(id).sendByUs());
+        node.completeAttempt(id, Result.ERROR, 100_000);
+        assertEquals(windowEndUs, node.latestAttempt(id).sendByUs());
+        long safe = node.submit(Node.SAFE);
+        node.completeAttempt(safe, Result.ERROR, 100_000);
+        assertEquals(Actions.ANY_TIME, node.latestAttempt(safe).sendByUs());
     }
 
     @Test
-    void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
-        Node node = new Node().with(3);
-        long safe = node.ask(Node.SAFE, 100_000);
-        long unsafe = node.ask(Node.UNSAFE, 100_000);
-        node.answer(safe, Result.TIMEOUT, 100_000);
-        node.answer(unsafe, Result.TIMEOUT, 0);
+    void aTimeoutAtTheDeadlineEndsTheRequestAtOnce() {
+        Node node = new Node().withServers(3);
+        long safe = node.submit(Node.SAFE, 100_000);
+        long unsafe = node.submit(Node.UNSAFE, 100_000);
+        node.completeAttempt(safe, Result.TIMEOUT, 100_000);
+        node.completeAttempt(unsafe, Result.TIMEOUT, 0);
         assertEquals(List.of(safe), node.refused);
         assertEquals(List.of(unsafe), node.failed);
-        node.advance(1_000_000);
-        assertEquals(1, node.attempts(safe));
+        node.advanceClock(1_000_000);
+        assertEquals(1, node.attemptCount(safe));
     }
 
     @Test
-    void noAttemptIsSentToEndAfterTheClientsTime() {
-        Node node = new Node().with(3);
-        long id = node.ask(Node.SAFE, 123_000);
-        assertEquals(node.now + 123_000, node.last(id).untilUs());
+    void noAttemptMayRunPastTheClientsDeadline() {
+        Node node = new Node().withServers(3);
+        long id = node.submit(Node.SAFE, 123_000);
+        assertEquals(node.nowUs + 123_000, node.latestAttempt(id).untilUs());
     }
 
     @Test
-    void nothingIsOwedToAClientThatHasGone() {
-        Node node = new Node().with(1);
-        long id = node.ask(Node.SAFE);
-        node.balancer.onClientGone(node.now, id);
-        node.answer(id, Result.ERROR, 1_000);
-        node.advance(2_000_000);
-        assertEquals(1, node.attempts(id));
+    void aRequestOfADisconnectedClientGetsNoFurtherAttemptOrAnswer() {
+        Node node = new Node().withServers(1);
+        long id = node.submit(Node.SAFE);
+        node.balancer.onClientGone(node.nowUs, id);
+        node.completeAttempt(id, Result.ERROR, 1_000);
+        node.advanceClock(2_000_000);
+        assertEquals(1, node.attemptCount(id));
         assertTrue(node.refused.isEmpty() && node.failed.isEmpty());
-        node.balancer.onClientGone(node.now, id);
-        node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, 1, true, null));
+        node.balancer.onClientGone(node.nowUs, id);
+        node.balancer.onOutcome(node.nowUs, new Outcome(id, 0, Result.OK, 1, true, null));
     }
 
     @Test
-    void nothingGoesToADrainingOrGoneServer() {
+    void nothingIsSentToADrainingOrRemovedServer() {
         for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.GONE}) {
-            Node node = new Node().with(2);
-            node.list(ListKind.CHANGES, List.of(in("s0", 0, 0, state)));
+            Node node = new Node().withServers(2);
+            node.updateServers(ListKind.CHANGES, List.of(server("s0", 0, 0, state)));
             for (int i = 0; i < 50; i++) {
-                assertEquals("s1", node.serve(Node.UNSAFE, i % 3 == 0 ? Result.ERROR : Result.OK, 1_000));
-                node.advance(1_100_000);
+                assertEquals("s1", node.submitAndComplete(Node.UNSAFE,
+                        i % 3 == 0 ? Result.ERROR : Result.OK, 1_000));
+                node.advanceClock(1_100_000);
             }
         }
     }
 
     @Test
-    void serversThatComeAndGoLeaveNothingBehind() throws ReflectiveOperationException {
-        Node node = new Node().with(1);
+    void removedServersAreForgotten() throws ReflectiveOperationException {
+        Node node = new Node().withServers(1);
         for (int i = 0; i < 500; i++) {
-            node.list(ListKind.CHANGES, List.of(Node.server("t" + i)));
-            node.serve(Node.UNSAFE, Result.ERROR, 1_000);
-            node.list(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
+            node.updateServers(ListKind.CHANGES, List.of(Node.readyServer("t" + i)));
+            node.submitAndComplete(Node.UNSAFE, Result.ERROR, 1_000);
+            node.updateServers(ListKind.CHANGES, List.of(server("t" + i, 0, 0, ServerState.GONE)));
         }
-        var known = ServiceQBalancer.class.getDeclaredField("byId");
-        known.setAccessible(true);
-        assertEquals(1, ((java.util.Map<?, ?>) known.get(node.balancer)).size());
+        var serversById = ServiceQBalancer.class.getDeclaredField("byId");
+        serversById.setAccessible(true);
+        assertEquals(1, ((java.util.Map<?, ?>) serversById.get(node.balancer)).size());
     }
 
     @Test
-    void aServerThatAFullListLeavesOutHasGone() {
-        Node node = new Node().with(2);
-        node.list(ListKind.FULL, List.of(Node.server("s1")));
+    void aServerMissingFromAFullListIsRemoved() {
+        Node node = new Node().withServers(2);
+        node.updateServers(ListKind.FULL, List.of(Node.readyServer("s1")));
         for (int i = 0; i < 20; i++) {
-            assertEquals("s1", node.serve(Node.SAFE, Result.OK, 1_000));
+            assertEquals("s1", node.submitAndComplete(Node.SAFE, Result.OK, 1_000));
         }
     }
 
     @Test
-    void aListOnRequestIsAskedForAtOnceAndAgainAfterFailuresWithGrowingJitteredWaits() {
-        Settings set = Node.settings();
-        set.listOnRequest = true;
-        Node node = new Node(set, 1).with(1);
+    void aListOnRequestIsRequestedAtOnceAndAgainSoonAfterEachFailure() {
+        Settings settings = Node.settings();
+        settings.listOnRequest = true;
+        Node node = new Node(settings, 1).withServers(1);
         assertEquals(1, node.subscriptions);
         for (int failures = 1; failures <= 6; failures++) {
-            node.balancer.onListFailed(node.now);
+            node.balancer.onListFailed(node.nowUs);
             assertEquals(failures, node.subscriptions);
-            node.advance(set.askWithinUs / 2);
+            node.advanceClock(settings.askWithinUs / 2);
             assertEquals(failures + 1, node.subscriptions);
         }
-        node.list(ListKind.CHANGES, List.of());
-        node.advance(10 * set.askWithinUs);
+        node.updateServers(ListKind.CHANGES, List.of());
+        node.advanceClock(10 * settings.askWithinUs);
         assertEquals(7, node.subscriptions);
     }
 
     @Test
-    void aListThatCouldNotBeHadForLongIsAskedForInTimeOnceItCan() {
+    void afterManyFailuresTheListIsStillRequestedAgainInTime() {
         for (int seed = 0; seed < 20; seed++) {
-            Settings set = Node.settings();
-            set.listOnRequest = true;
-            set.askWithinUs = 40_000_000;
-            Node node = new Node(set, seed).with(1);
+            Settings settings = Node.settings();
+            settings.listOnRequest = true;
+            settings.askWithinUs = 40_000_000;
+            Node node = new Node(settings, seed).withServers(1);
             for (int failures = 0; failures < 12; failures++) {
-                int before = node.subscriptions;
-                node.balancer.onListFailed(node.now);
-                // A call given up takes 3 s, and the next one has to be answered 6 s after the first began.
-                node.advance(1_500_000);
-                assertEquals(before + 1, node.subscriptions, "after " + failures + " failures");
+                int requestsBefore = node.subscriptions;
+                node.balancer.onListFailed(node.nowUs);
+                // A list request times out after 3 s; the next must be answered within 6 s of the first one.
+                node.advanceClock(1_500_000);
+                assertEquals(requestsBefore + 1, node.subscriptions,
+                        "list requests, with " + failures + " earlier failures");
             }
         }
     }
 
     @Test
-    void aCallThatIsNeverAnsweredIsMadeAgainInsideTheTimeAllowed() {
-        Settings set = Node.settings();
-        set.listOnRequest = true;
-        Node node = new Node(set, 1).with(1);
-        node.advance(set.askWithinUs - 1);
+    void aListRequestThatIsNeverAnsweredIsRepeatedInsideTheAllowedTime() {
+        Settings settings = Node.settings();
+        settings.listOnRequest = true;
+        Node node = new Node(settings, 1).withServers(1);
+        node.advanceClock(settings.askWithinUs - 1);
         assertTrue(node.subscriptions >= 2);
     }
 
     @Test
-    void settingsAndRequestsOutOfRangeAreRejectedByName() {
-        Settings none = new Settings();
-        assertThrows(IllegalArgumentException.class, () -> new Node(none, 1));
-        Settings negative = Node.settings();
-        negative.coldUs = -1;
-        assertThrows(IllegalArgumentException.class, () -> new Node(negative, 1));
-        Settings zone = Node.settings();
-        zone.myZone = 9;
-        assertThrows(IllegalArgumentException.class, () -> new Node(zone, 1));
-        Node node = new Node().with(1);
-        assertThrows(IllegalArgumentException.class, () -> node.ask(99));
+    void settingsAndRequestsOutOfRangeAreRejected() {
+        Settings empty = new Settings();
+        assertThrows(IllegalArgumentException.class, () -> new Node(empty, 1));
+        Settings negativeTime = Node.settings();
+        negativeTime.coldUs = -1;
+        assertThrows(IllegalArgumentException.class, () -> new Node(negativeTime, 1));
+        Settings unknownZone = Node.settings();
+        unknownZone.myZone = 9;
+        assertThrows(IllegalArgumentException.class, () -> new Node(unknownZone, 1));
+        Node node = new Node().withServers(1);
+        assertThrows(IllegalArgumentException.class, () -> node.submit(99));
         assertThrows(IllegalArgumentException.class,
-                () -> node.balancer.onRequest(node.now, new Request(5, 0, 7, 1_000, 0, false)));
-        node.balancer.onRequest(node.now, new Request(6, 0, -1, 1_000_000, 0, false));
+                () -> node.balancer.onRequest(node.nowUs, new Request(5, 0, 7, 1_000, 0, false)));
+        node.balancer.onRequest(node.nowUs, new Request(6, 0, -1, 1_000_000, 0, false));
         assertThrows(IllegalArgumentException.class,
-                () -> node.balancer.onRequest(node.now, new Request(6, 0, -1, 1_000_000, 0, false)));
+                () -> node.balancer.onRequest(node.nowUs, new Request(6, 0, -1, 1_000_000, 0, false)));
     }
 }
--- a/src/test/java/cedarrelay/SettingsTest.java
+++ b/src/test/java/cedarrelay/SettingsTest.java
@@ -12,32 +12,32 @@
 
 import cedarrelay.Balancer.Settings;
 
-/** Settings out of range are rejected by name; what README shows works. */
+/** Tests that errors name the setting that is out of range, and that the example of the README works. */
 class SettingsTest {
 
     @Test
-    void aSettingOutOfRangeIsNamed() {
-        Map<String, Consumer<Settings>> wrong = Map.of(
-                "nodes", s -> s.nodes = 0,
-                "maxAttempts", s -> s.maxAttempts = 0,
-                "classes", s -> s.classes.clear(),
-                "myZone", s -> s.myZone = 7,
-                "tickUs", s -> s.tickUs = -1,
-                "askWithinUs", s -> s.askWithinUs = -1,
-                "coldFrom", s -> s.coldFrom = 0,
-                "fallMultiple", s -> s.fallMultiple = 0,
-                "probePrice", s -> s.probePrice = -1);
-        wrong.forEach((field, change) -> {
-            Settings set = Node.settings();
-            change.accept(set);
+    void anErrorNamesTheSettingThatIsOutOfRange() {
+        Map<String, Consumer<Settings>> invalidChanges = Map.of(
+                "nodes", changed -> changed.nodes = 0,
+                "maxAttempts", changed -> changed.maxAttempts = 0,
+                "classes", changed -> changed.classes.clear(),
+                "myZone", changed -> changed.myZone = 7,
+                "tickUs", changed -> changed.tickUs = -1,
+                "askWithinUs", changed -> changed.askWithinUs = -1,
+                "coldFrom", changed -> changed.coldFrom = 0,
+                "fallMultiple", changed -> changed.fallMultiple = 0,
+                "probePrice", changed -> changed.probePrice = -1);
+        invalidChanges.forEach((field, change) -> {
+            Settings settings = Node.settings();
+            change.accept(settings);
             IllegalArgumentException thrown = assertThrows(IllegalArgumentException.class,
-                    () -> new Node(set, 1));
+                    () -> new Node(settings, 1));
             assertTrue(thrown.getMessage().startsWith(field), thrown.getMessage());
         });
     }
 
     @Test
-    void theEmbeddingThatReadmeShowsSendsARequest() {
+    void theEmbeddingExampleOfTheReadmeSendsARequest() {
         Settings settings = new Settings();
         settings.nodes = 12;
         settings.zones = List.of("hall");
@@ -48,6 +48,6 @@
         balancer.onServers(1_000, Balancer.ListKind.CACHED, List.of(
                 new Balancer.ServerEntry("10.0.0.1:80", 0, 0, Balancer.ServerState.READY, 1, 0)));
         balancer.onRequest(2_000, new Balancer.Request(1, 0, -1, 1_000_000, 0, false));
-        assertEquals("10.0.0.1:80", actions.last(1).server());
+        assertEquals("10.0.0.1:80", actions.latestAttempt(1).serverId());
     }
 }
