--- a/src/test/java/cedarrelay/Node.java
+++ b/src/test/java/cedarrelay/Node.java
@@ -52,7 +52,7 @@
     /** Cancelled attempts, each as request id, slash, attempt number. */
     final List<String> cancelled = new ArrayList<>();
     final List<String> logLines = new ArrayList<>();
-    /** Servers of the probes that have no result yet. */
+    /** Servers in the order in which they were probed, since this list was last cleared. */
     final List<String> probedServers = new ArrayList<>();
     /** How many times the server list was requested. */
     int subscriptions;
