--- a/src/test/java/cedarrelay/node/MainTest.java
+++ b/src/test/java/cedarrelay/node/MainTest.java
@@ -162,9 +162,9 @@
             assertTrue(metrics.contains("\ncedarrelay_attempts_written_total 1\n"), metrics);
         }
         String output = output();
-        for (String line : List.of("request 0000000000000abc taken, class 0,",
-                "request 0000000000000abc attempt 0 at s-" + server.port() + " ended OK",
-                "request 0000000000000abc closed: served by s-" + server.port() + ", after 1 attempts")) {
+        for (String line : List.of("request 0000000000000abc accepted, class 0,",
+                "request 0000000000000abc attempt 0 at s-" + server.port() + " ended with OK after ",
+                "request 0000000000000abc ended: served by s-" + server.port() + ", after 1 attempts")) {
             assertTrue(output.contains(line), output);
         }
     }
