--- a/src/test/java/cedarrelay/RulesTest.java
+++ b/src/test/java/cedarrelay/RulesTest.java
@@ -174,7 +174,7 @@
             node.submitAndComplete(Node.UNSAFE, Result.ERROR, 1_000);
             node.updateServers(ListKind.CHANGES, List.of(server("t" + i, 0, 0, ServerState.GONE)));
         }
-        var serversById = ServiceQBalancer.class.getDeclaredField("byId");
+        var serversById = ServiceQBalancer.class.getDeclaredField("serversById");
         serversById.setAccessible(true);
         assertEquals(1, ((java.util.Map<?, ?>) serversById.get(node.balancer)).size());
     }
