--- a/src/main/java/cedarrelay/Balancer.java
+++ b/src/main/java/cedarrelay/Balancer.java
@@ -40,7 +40,7 @@
     void onFirstByte(long nowUs, long requestId, int attempt);
 
     /** Reports that a client disconnected; its request needs no response. Unknown ids are ignored. */
-    void onClientGone(long nowUs, long requestId);
+    void onClientDisconnected(long nowUs, long requestId);
 
     /** Reports how a probe ended; {@code report} as in {@link Outcome}. */
     void onProbe(long nowUs, String serverId, Result result, long latencyUs, double[] report);
@@ -51,7 +51,7 @@
     /** What a balancer can have its node do. Calls take effect in order, at the time of the event. */
     interface Actions {
         /** As {@code sendByUs}: no bound but the end of the attempt. */
-        long ANY_TIME = Long.MAX_VALUE;
+        long NO_SEND_DEADLINE = Long.MAX_VALUE;
 
         /**
          * Starts the next attempt of a request; attempts are numbered from 0.
@@ -59,7 +59,7 @@
          * @param untilUs when to abandon the attempt
          * @param sendByUs if the request hasn't been written completely by then, it must not be sent any
          *     more: an attempt may wait for its connection, and a retry is safe only within a window;
-         *     {@link #ANY_TIME} for no such bound
+         *     {@link #NO_SEND_DEADLINE} for no such bound
          */
         void send(long requestId, String serverId, long untilUs, long sendByUs);
 
@@ -102,8 +102,8 @@
         CACHED
     }
 
-    /** The lifecycle state of a server in the list; GONE means removed. */
-    enum ServerState { READY, DRAINING, GONE }
+    /** The lifecycle state of a server in the list. */
+    enum ServerState { READY, DRAINING, REMOVED }
 
     /**
      * An entry of a server list.
@@ -122,18 +122,19 @@
      *
      * @param id unique among the pending requests
      * @param classIndex index into {@link Settings#classes}
-     * @param tenant index into {@link Settings#tenants}, or -1 for none
-     * @param leftUs time until the client stops waiting for this try
+     * @param tenantIndex index into {@link Settings#tenants}, or -1 for none
+     * @param remainingUs time until the client stops waiting for this try
      * @param workUs estimated processor time on a standard core; 0 if unknown
      * @param retry whether the client marked this as a retry
-     * @param waitedUs upper bound of its wait before the node read it, because of event-loop lag
+     * @param readDelayUs upper bound of its wait before the node read it, because of event-loop lag
      */
-    record Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry,
-            long waitedUs) {
+    record Request(long id, int classIndex, int tenantIndex, long remainingUs, long workUs, boolean retry,
+            long readDelayUs) {
 
         /** Creates a request that was read without delay. */
-        public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry) {
-            this(id, classIndex, tenant, leftUs, workUs, retry, 0);
+        public Request(long id, int classIndex, int tenantIndex, long remainingUs, long workUs,
+                boolean retry) {
+            this(id, classIndex, tenantIndex, remainingUs, workUs, retry, 0);
         }
     }
 
@@ -144,7 +145,7 @@
         /** The server responded with an error; the request may have run. */
         ERROR(false),
         /** The overloaded server rejected the request before it ran. */
-        FULL(true),
+        REJECTED(true),
         /** No response in time; the request may have run or still be running. */
         TIMEOUT(false),
         /** No connection could be opened in time. */
@@ -154,7 +155,7 @@
         /** The node cancelled the attempt; the request may have run. */
         CANCELLED(false),
         /** Not sent, as no longer needed or no longer allowed. */
-        MOOT(true);
+        NOT_SENT(true);
 
         /** Whether the request certainly didn't run. */
         public final boolean neverRan;
@@ -174,10 +175,10 @@
      * @param requestEnded true if the request has ended, with this outcome or before; otherwise it still
      *     needs a final response
      * @param report the load report of the server in the order of {@link Settings#reportFields}, or null
-     * @param stallUs upper bound of the event-loop lag in the latency, which says nothing about the server
+     * @param loopLagUs upper bound of the event-loop lag in the latency, which says nothing about the server
      */
     record Outcome(long requestId, int attempt, Result result, long latencyUs, boolean requestEnded,
-            double[] report, long stallUs) {
+            double[] report, long loopLagUs) {
 
         /** Creates an outcome without event-loop lag. */
         public Outcome(long requestId, int attempt, Result result, long latencyUs, boolean requestEnded,
@@ -186,13 +187,13 @@
         }
 
         /** The part of the latency that is certainly not event-loop lag, in microseconds. */
-        public long servedUs() {
-            return latencyUs - stallUs;
+        public long latencyWithoutLagUs() {
+            return latencyUs - loopLagUs;
         }
 
         /** Whether the latency is mostly event-loop lag and says little about the server. */
-        public boolean isStalled() {
-            return servedUs() < stallUs;
+        public boolean isMostlyLoopLag() {
+            return latencyWithoutLagUs() < loopLagUs;
         }
 
         /**
@@ -200,14 +201,14 @@
          * although its response has arrived; a node that keeps lagging notices an unresponsive server only
          * by other failures.
          */
-        public boolean isTelling() {
-            return result != Result.CANCELLED && result != Result.MOOT
-                    && (result != Result.TIMEOUT || !isStalled());
+        public boolean isInformative() {
+            return result != Result.CANCELLED && result != Result.NOT_SENT
+                    && (result != Result.TIMEOUT || !isMostlyLoopLag());
         }
     }
 
     /** Whether a request that may have run may be sent again. */
-    enum Repeat {
+    enum RetrySafety {
         /** Any number of times. */
         SAFE,
         /** For a limited time, to the servers of a group that drops duplicates by their idempotency key. */
@@ -217,7 +218,7 @@
     }
 
     /** The servers that drop duplicates of a keyed request: all, or those of one zone or cell. */
-    enum Group { ALL, ZONE, CELL }
+    enum DeduplicationScope { ALL, ZONE, CELL }
 
     /** Fields of a load report; latencies are in milliseconds, rates per second. */
     enum ReportField { IN_FLIGHT, QUEUED, UTILISATION, LATENCY_MS, SERVED_PER_S, ERRORS_PER_S, OTHER }
@@ -226,19 +227,21 @@
      * A class of requests.
      *
      * @param name name in the configuration
-     * @param aimUs latency target: a response within it earns the full utility
-     * @param aimStretch the latency target grows by this many times the estimated work of the request, up
+     * @param latencyTargetUs latency target: a response within it earns the full utility
+     * @param targetPerWork the latency target grows by this many times the estimated work of the request, up
      *     to the deadline
      * @param deadlineUs how long a client waits over all its tries
-     * @param worth utility of a request
-     * @param lateWorth share of the utility for a response after the latency target
-     * @param repeat whether it may be sent again
-     * @param group for keyed classes: the servers that drop duplicates; otherwise unused
-     * @param windowUs for keyed classes: how long they do so, from the first attempt that may have run
-     * @param stream whether responses are streamed
+     * @param utility utility of a request
+     * @param lateUtilityShare share of the utility for a response after the latency target
+     * @param retrySafety whether it may be sent again
+     * @param deduplicationScope for keyed classes: the servers that drop duplicates; otherwise unused
+     * @param deduplicationWindowUs for keyed classes: how long they do so, from the first attempt that may
+     *     have run
+     * @param streamed whether responses are streamed
      */
-    record RequestClass(String name, long aimUs, double aimStretch, long deadlineUs, double worth,
-            double lateWorth, Repeat repeat, Group group, long windowUs, boolean stream) { }
+    record RequestClass(String name, long latencyTargetUs, double targetPerWork, long deadlineUs,
+            double utility, double lateUtilityShare, RetrySafety retrySafety,
+            DeduplicationScope deduplicationScope, long deduplicationWindowUs, boolean streamed) { }
 
     /**
      * A tenant.
@@ -250,7 +253,7 @@
 
     /** The settings of one node, with their defaults. */
     final class Settings {
-        /** Number of nodes, including this one. */
+        /** Number of nodes, including this one ({@code balancers} in the settings). */
         public int nodes = 1;
         /** This node's zone, an index into {@link #zones}. */
         public int myZone;
@@ -258,56 +261,87 @@
         public List<String> zones = new ArrayList<>();
         /** Request classes; at least one. */
         public List<RequestClass> classes = new ArrayList<>();
-        /** Tenants; may be empty. */
+        /** Tenants; may be empty ({@code realms} in the settings). */
         public List<Tenant> tenants = new ArrayList<>();
-        /** Utility of a request beyond the quota of its tenant, as a share of that of its class. */
-        public double overShareWorth = 1;
-        /** Whether utility is earned per unit of work instead of per request. */
-        public boolean worthByWork;
-        /** Maximum number of attempts of a request. */
+        /**
+         * Utility of a request beyond the quota of its tenant, as a share of that of its class
+         * ({@code overShareWorth} in the settings).
+         */
+        public double overQuotaUtilityShare = 1;
+        /**
+         * Whether utility is earned per unit of work instead of per request ({@code countedBy} in the
+         * settings).
+         */
+        public boolean utilityPerWork;
+        /** Maximum number of attempts of a request ({@code limits.attemptsCap} in the settings). */
         public int maxAttempts = 3;
-        /** Whether a request may have two attempts in flight at once. */
-        public boolean secondCopies;
-        /** Whether attempts may be cancelled. */
-        public boolean cancel;
-        /** Whether servers may be probed. */
-        public boolean probes;
-        /** Whether clients mark their retries, so that an unmarked request is a first try. */
-        public boolean marksRetry;
+        /**
+         * Whether a request may have two attempts in flight at once ({@code limits.parallelTries} in the
+         * settings).
+         */
+        public boolean allowParallelAttempts;
+        /** Whether attempts may be cancelled ({@code limits.cancelling} in the settings). */
+        public boolean allowCancel;
+        /** Whether servers may be probed ({@code limits.probes} in the settings). */
+        public boolean allowProbes;
+        /**
+         * Whether clients mark their retries, so that an unmarked request is a first try
+         * ({@code callers.marksRetry} in the settings).
+         */
+        public boolean clientsMarkRetries;
         /** Upper bound of the advice to a client on when to retry; 0 for no advice. */
         public long maxRetryAfterUs;
-        /** Length of a tick: events are delivered at most this often. */
+        /**
+         * Length of a tick: events are delivered at most this often ({@code quantumUs} in the settings).
+         */
         public long tickUs = 1_000;
-        /** Timeout for opening a connection. */
+        /** Timeout for opening a connection ({@code limits.dialTimeoutUs} in the settings). */
         public long connectTimeoutUs = 250_000;
-        /** Whether the server list comes only on request. */
+        /** Whether the server list comes only on request ({@code membershipMode} in the settings). */
         public boolean listOnRequest;
-        /** With {@link #listOnRequest}, longest time without a subscription before the list is requested. */
-        public long askWithinUs = 10_000_000;
+        /**
+         * With {@link #listOnRequest}, longest time without a subscription before the list is requested
+         * ({@code rules.askWithinUs} in the settings).
+         */
+        public long listRequestIntervalUs = 10_000_000;
         /** Grace period in which sends have to end after notice that a server drains or was removed. */
         public long drainGraceUs = 1_000_000;
-        /** Share of its capacity that a server has at the beginning of its slow start, at least. */
-        public double coldFrom = 0.2;
-        /** Longest duration of the slow start of a server. */
-        public long coldUs = 20_000_000;
+        /**
+         * Share of its capacity that a server has at the beginning of its slow start, at least
+         * ({@code rules.coldFrom} in the settings).
+         */
+        public double slowStartMinShare = 0.2;
+        /** Longest duration of the slow start of a server ({@code rules.coldUs} in the settings). */
+        public long slowStartUs = 20_000_000;
         /**
          * A server in slow start collapses if all nodes together send it more than this many times its
          * current capacity.
          */
-        public double fallMultiple = 3;
-        /** How long that load has to last for the server to collapse. */
-        public long fallUs = 2_000_000;
-        /** Price of an attempt that crosses zones; 0 if that is free. */
+        public double overloadFactor = 3;
+        /**
+         * How long that load has to last for the server to collapse ({@code rules.fallUs} in the settings).
+         */
+        public long overloadWindowUs = 2_000_000;
+        /**
+         * Price of an attempt that crosses zones; 0 if that is free ({@code costs.crossZone} in the
+         * settings).
+         */
         public double crossZonePrice;
-        /** Price of one probe per request, in units of the total utility of all requests. */
+        /**
+         * Price of one probe per request, in units of the total utility of all requests
+         * ({@code costs.probe} in the settings).
+         */
         public double probePrice;
-        /** Fields of the load reports, in order; empty if there are none. */
+        /**
+         * Fields of the load reports, in order; empty if there are none ({@code report.fields} in the
+         * settings).
+         */
         public List<ReportField> reportFields = new ArrayList<>();
 
         /**
          * Checks all settings.
          *
-         * @throws IllegalArgumentException with the name of the field, if one is missing or out of range
+         * @throws IllegalArgumentException with the name of the setting, if one is missing or out of range
          */
         void validate() {
             require(!classes.isEmpty(), "classes is empty");
@@ -315,30 +349,31 @@
             require(maxAttempts >= 1, "maxAttempts is less than 1");
             require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone is not an index into zones");
             requireNotNegative(tickUs, "tickUs");
-            requireNotNegative(coldUs, "coldUs");
-            requireNotNegative(fallUs, "fallUs");
+            requireNotNegative(slowStartUs, "coldUs");
+            requireNotNegative(overloadWindowUs, "fallUs");
             requireNotNegative(drainGraceUs, "drainGraceUs");
             requireNotNegative(connectTimeoutUs, "connectTimeoutUs");
-            requireNotNegative(askWithinUs, "askWithinUs");
+            requireNotNegative(listRequestIntervalUs, "askWithinUs");
             requireNotNegative(maxRetryAfterUs, "maxRetryAfterUs");
-            require(overShareWorth >= 0, "overShareWorth is negative");
+            require(overQuotaUtilityShare >= 0, "overShareWorth is negative");
             require(crossZonePrice >= 0, "crossZonePrice is negative");
             require(probePrice >= 0, "probePrice is negative");
-            require(coldFrom > 0 && coldFrom <= 1, "coldFrom is not in (0, 1]");
-            require(fallMultiple > 0, "fallMultiple is not greater than 0");
+            require(slowStartMinShare > 0 && slowStartMinShare <= 1, "coldFrom is not in (0, 1]");
+            require(overloadFactor > 0, "overloadFactor is not greater than 0");
             for (RequestClass c : classes) {
-                require(c.aimUs() >= 0 && c.deadlineUs() > 0 && c.windowUs() >= 0 && c.aimStretch() >= 0,
+                require(c.latencyTargetUs() >= 0 && c.deadlineUs() > 0 && c.deduplicationWindowUs() >= 0
+                                && c.targetPerWork() >= 0,
                         "class " + c.name()
                                 + " has a latency target, stretch, deadline or window out of range");
-                require(c.worth() >= 0 && c.lateWorth() >= 0,
+                require(c.utility() >= 0 && c.lateUtilityShare() >= 0,
                         "class " + c.name() + " has a negative utility");
-                require(c.repeat() != Repeat.KEYED || c.group() != null,
+                require(c.retrySafety() != RetrySafety.KEYED || c.deduplicationScope() != null,
                         "class " + c.name() + " is keyed but has no group");
             }
         }
 
-        private static void requireNotNegative(long valueUs, String field) {
-            require(valueUs >= 0, field + " is negative");
+        private static void requireNotNegative(long valueUs, String setting) {
+            require(valueUs >= 0, setting + " is negative");
         }
 
         private static void require(boolean valid, String message) {
--- a/src/main/java/cedarrelay/Call.java
+++ b/src/main/java/cedarrelay/PendingRequest.java
@@ -1,21 +1,21 @@
 package cedarrelay;
 
 import cedarrelay.Balancer.Actions;
-import cedarrelay.Balancer.Repeat;
 import cedarrelay.Balancer.Request;
 import cedarrelay.Balancer.RequestClass;
 import cedarrelay.Balancer.Result;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.Settings;
 
 /** A request that is pending or still has attempts in flight. Times are in microseconds. */
-final class Call {
+final class PendingRequest {
     final Request request;
-    final RequestClass cls;
+    final RequestClass requestClass;
     final long arrivedAt;
     /** Latency target. */
-    final long aimUs;
+    final long latencyTargetUs;
     /** End of the latency target, which starts with the first try of the client; at most the deadline. */
-    final long aimAt;
+    final long latencyTargetAt;
     final long deadlineAt;
     /** After half of its time: a request that no server has seen is refused then. */
     final long refuseAt;
@@ -24,23 +24,23 @@
     final long[] sentAt;
     final Result[] results;
     /** Utility of a response on time, given the quota of its tenant. */
-    double worth;
+    double utility;
     /** Queue priority: utility per expected work. */
-    double value;
+    double queuePriority;
     /** Whether the priority has been lowered because a response is expected after the latency target. */
-    boolean late;
+    boolean priorityLowered;
     /** Attempts started so far. */
-    int attempts;
+    int attemptCount;
     /** Attempts in flight. */
-    int outstanding;
+    int attemptsInFlight;
     /** Whether it is in the deferred queue. */
-    boolean waiting;
+    boolean deferred;
     /** Whether it waits for probe results. */
-    boolean asking;
+    boolean awaitingProbes;
     /** Probe results that it waits for. */
-    int asksOut;
+    int probesPending;
     /** When it stops waiting for probe results. */
-    long decideAt;
+    long probeWaitEndsAt;
     /** Whether the response has begun to arrive. */
     boolean streaming;
     /** Whether it needs no further response. */
@@ -51,24 +51,24 @@
      *
      * @param elapsedUs time since the first try of the client
      */
-    Call(Request request, Settings settings, long nowUs, long elapsedUs) {
+    PendingRequest(Request request, Settings settings, long nowUs, long elapsedUs) {
         this.request = request;
-        cls = settings.classes.get(request.classIndex());
-        long targetUs = Math.min(cls.deadlineUs(),
-                cls.aimUs() + (long) (cls.aimStretch() * request.workUs()));
+        requestClass = settings.classes.get(request.classIndex());
+        long targetUs = Math.min(requestClass.deadlineUs(),
+                requestClass.latencyTargetUs() + (long) (requestClass.targetPerWork() * request.workUs()));
         arrivedAt = nowUs;
-        deadlineAt = nowUs + Math.max(0, request.leftUs());
-        refuseAt = nowUs + (request.leftUs() - request.waitedUs()) / 2;
-        aimUs = targetUs;
-        aimAt = Math.min(deadlineAt, nowUs + targetUs - elapsedUs - request.waitedUs());
+        deadlineAt = nowUs + Math.max(0, request.remainingUs());
+        refuseAt = nowUs + (request.remainingUs() - request.readDelayUs()) / 2;
+        latencyTargetUs = targetUs;
+        latencyTargetAt = Math.min(deadlineAt, nowUs + targetUs - elapsedUs - request.readDelayUs());
         servers = new Server[settings.maxAttempts];
         sentAt = new long[settings.maxAttempts];
         results = new Result[settings.maxAttempts];
     }
 
     /** Returns the earliest attempt that may have run, or -1: it restricts retries and refusals. */
-    int binding() {
-        for (int i = 0; i < attempts; i++) {
+    int firstPossiblyRunAttempt() {
+        for (int i = 0; i < attemptCount; i++) {
             if (results[i] == null || !results[i].neverRan) {
                 return i;
             }
@@ -77,9 +77,11 @@
     }
 
     /** Returns until when another attempt may be sent: the key window of a keyed request, 0 for never. */
-    long repeatableUntil() {
-        int binding = binding();
-        return binding < 0 || cls.repeat() == Repeat.SAFE ? Actions.ANY_TIME
-                : cls.repeat() == Repeat.KEYED ? sentAt[binding] + cls.windowUs() : 0;
+    long retryAllowedUntil() {
+        int firstPossiblyRun = firstPossiblyRunAttempt();
+        return firstPossiblyRun < 0 || requestClass.retrySafety() == RetrySafety.SAFE
+                ? Actions.NO_SEND_DEADLINE
+                : requestClass.retrySafety() == RetrySafety.KEYED
+                ? sentAt[firstPossiblyRun] + requestClass.deduplicationWindowUs() : 0;
     }
 }
--- a/src/main/java/cedarrelay/ServiceQBalancer.java
+++ b/src/main/java/cedarrelay/ServiceQBalancer.java
@@ -112,7 +112,8 @@
      * response to the next, it stays below the 6 s after which a change counts as notified. */
     private static final long MAX_LIST_BACKOFF_US = 1_000_000;
 
-    private static final Comparator<Call> BY_PRIORITY = Comparator.comparingDouble(call -> -call.value);
+    private static final Comparator<PendingRequest> BY_PRIORITY =
+            Comparator.comparingDouble(pending -> -pending.queuePriority);
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
@@ -131,10 +132,10 @@
     private double totalNominalSize;
     private int ejectedCount;
     private long nextLogAt;
-    private final Map<Long, Call> calls = new HashMap<>();
-    private final ArrayList<Call> deferredQueue = new ArrayList<>();
-    private final PriorityQueue<Call> awaitingProbes =
-            new PriorityQueue<>(Comparator.comparingLong(c -> c.decideAt));
+    private final Map<Long, PendingRequest> pendingById = new HashMap<>();
+    private final ArrayList<PendingRequest> deferredQueue = new ArrayList<>();
+    private final PriorityQueue<PendingRequest> awaitingProbes =
+            new PriorityQueue<>(Comparator.comparingLong(pending -> pending.probeWaitEndsAt));
     private long now;
     private long pendingWakeAt = Long.MAX_VALUE;
     private long lastServedAt;
@@ -211,14 +212,14 @@
         now = nowUs;
         if (kind != ListKind.CHANGES) {
             for (Server server : listedServers) {
-                server.state = ServerState.GONE;
+                server.state = ServerState.REMOVED;
             }
             listedServers.clear();
         }
         for (ServerEntry entry : entries) {
             Server server = serversById.computeIfAbsent(entry.id(),
                     id -> new Server(id, initialLimit(), settings.classes.size()));
-            if (entry.state() == ServerState.GONE) {
+            if (entry.state() == ServerState.REMOVED) {
                 listedServers.remove(server);
             } else if (!listedServers.contains(server)) {
                 listedServers.add(server);
@@ -226,28 +227,29 @@
             if (entry.startedAtUs() > server.startedAt) {
                 // The server was restarted: failures of the old process say nothing about the new one.
                 resetFailureState(server);
-                Arrays.fill(server.misses, 0);
-                Arrays.fill(server.outUntil, 0);
+                Arrays.fill(server.classFailures, 0);
+                Arrays.fill(server.classEjectedUntil, 0);
                 server.startedAt = entry.startedAtUs();
                 // All nodes are notified of a start at about the same time and must not send at once.
-                server.coldSentAt = now;
-                server.coldPhase = random.nextDouble();
+                server.slowStartSentAt = now;
+                server.slowStartGapShare = random.nextDouble();
             }
             server.state = entry.state();
             server.zone = entry.zone();
             server.cell = entry.cell();
             server.weight = entry.weight() > 0 ? entry.weight() : 1;
-            server.nominal = Math.max(server.nominal, server.weight);
-            server.size = server.nominal * Math.pow(server.weight / server.nominal, LOAD_WEIGHT_EXPONENT);
+            server.nominalSize = Math.max(server.nominalSize, server.weight);
+            server.effectiveSize = server.nominalSize
+                    * Math.pow(server.weight / server.nominalSize, LOAD_WEIGHT_EXPONENT);
         }
         ready = listedServers.stream().filter(s -> s.state == ServerState.READY).toArray(Server[]::new);
         totalNominalSize = 0;
         for (int i = 0; i < ready.length; i++) {
-            ready[i].position = i;
-            totalNominalSize += ready[i].nominal;
+            ready[i].readyIndex = i;
+            totalNominalSize += ready[i].nominalSize;
         }
         // Drop removed servers without attempts in flight, or the map grows for as long as the node runs.
-        serversById.values().removeIf(server -> server.state == ServerState.GONE && server.inFlight == 0);
+        serversById.values().removeIf(server -> server.state == ServerState.REMOVED && server.inFlight == 0);
         allZones = new Pool(ready);
         localZone = settings.crossZonePrice == 0 ? allZones
                 : new Pool(Arrays.stream(ready).filter(this::isLocal).toArray(Server[]::new));
@@ -274,13 +276,13 @@
         // Backoff with jitter, so that nodes that failed together don't retry together.
         listRequestAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
         listBackoffUs = Math.min(2 * listBackoffUs,
-                Math.max(1, Math.min(MAX_LIST_BACKOFF_US, settings.askWithinUs / 4)));
+                Math.max(1, Math.min(MAX_LIST_BACKOFF_US, settings.listRequestIntervalUs / 4)));
         scheduleWake();
     }
 
     private void requestList() {
         actions.subscribe();
-        listRequestAt = now + Math.max(1, settings.askWithinUs / 2);
+        listRequestAt = now + Math.max(1, settings.listRequestIntervalUs / 2);
     }
 
     // ---------------------------------------------------------------- requests and outcomes
@@ -289,35 +291,38 @@
     public void onRequest(long nowUs, Request request) {
         now = nowUs;
         if (request.classIndex() < 0 || request.classIndex() >= settings.classes.size()
-                || request.tenant() >= settings.tenants.size() || calls.containsKey(request.id())) {
+                || request.tenantIndex() >= settings.tenants.size()
+                || pendingById.containsKey(request.id())) {
             throw new IllegalArgumentException("unknown class or tenant, or id still pending: " + request);
         }
         long elapsedUs = elapsedSinceFirstTryUs(request);
-        Call call = new Call(request, settings, now, elapsedUs);
-        calls.put(request.id(), call);
+        PendingRequest pending = new PendingRequest(request, settings, now, elapsedUs);
+        pendingById.put(request.id(), pending);
         // Counts first tries only: under congestion the clients' retries multiply the load.
         sendTokens = Math.min(MAX_SEND_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLE_TOKENS_FIRST_TRY : 0));
-        call.value = queuePriority(call);
+        pending.queuePriority = queuePriority(pending);
         // If the event loop lags, the response will be read late too: a request that can't be on time would
         // only take processor time from others. After a single pause this rejects too many requests.
-        if (hasNoUtilityLeft(call) || call.cls.lateWorth() == 0 && request.waitedUs() > queueScanUs
-                && call.aimAt - now < request.waitedUs() / 2 + meanLatencyUs[request.classIndex()]) {
-            endUnserved(call);
+        if (hasNoUtilityLeft(pending)
+                || pending.requestClass.lateUtilityShare() == 0 && request.readDelayUs() > queueScanUs
+                && pending.latencyTargetAt - now
+                        < request.readDelayUs() / 2 + meanLatencyUs[request.classIndex()]) {
+            endUnserved(pending);
             return;
         }
-        if (!deferredQueue.isEmpty() || now >= call.deadlineAt || !startedProbes(call)) {
-            sendOrDefer(call);
+        if (!deferredQueue.isEmpty() || now >= pending.deadlineAt || !startedProbes(pending)) {
+            sendOrDefer(pending);
         }
         scheduleWake();
     }
 
     /** Sends a request to a sampled server, or defers it. */
-    private void sendOrDefer(Call call) {
-        Server server = deferredQueue.isEmpty() && now < call.deadlineAt ? pickServer(call) : null;
+    private void sendOrDefer(PendingRequest pending) {
+        Server server = deferredQueue.isEmpty() && now < pending.deadlineAt ? pickServer(pending) : null;
         if (server != null) {
-            send(call, server);
+            send(pending, server);
         } else {
-            defer(call);
+            defer(pending);
             serveDeferred();
         }
     }
@@ -328,21 +333,22 @@
      * tries of a class, by far the most requests, and for retries what is left of the deadline.
      */
     private long elapsedSinceFirstTryUs(Request request) {
-        if (settings.marksRetry && !request.retry()) {
+        if (settings.clientsMarkRetries && !request.retry()) {
             return 0;
         }
         int classIndex = request.classIndex();
         long deadlineUs = settings.classes.get(classIndex).deadlineUs();
-        long leftUs = request.leftUs() + request.waitedUs();
-        boolean usual = Math.abs(leftUs - usualTimeLeftUs[classIndex]) <= TIME_LEFT_TOLERANCE * deadlineUs;
+        long remainingUs = request.remainingUs() + request.readDelayUs();
+        boolean usual = Math.abs(remainingUs - usualTimeLeftUs[classIndex])
+                <= TIME_LEFT_TOLERANCE * deadlineUs;
         usualTimeLeftShare[classIndex] += smoothing(++requestCounts[classIndex])
                 * ((usual ? 1 : 0) - usualTimeLeftShare[classIndex]);
         if (!usual && usualTimeLeftShare[classIndex] < FIRST_TRY_MIN_SHARE) {
             // No remaining time is common enough yet to tell first tries from retries.
-            usualTimeLeftUs[classIndex] = leftUs;
+            usualTimeLeftUs[classIndex] = remainingUs;
             return 0;
         }
-        return usual ? 0 : Math.max(0, deadlineUs - leftUs);
+        return usual ? 0 : Math.max(0, deadlineUs - remainingUs);
     }
 
     /** Returns the smoothing factor for the newest of so many samples: a plain mean until there are many. */
@@ -351,66 +357,69 @@
     }
 
     /** Whether no response can earn anything any more, so that an attempt would only waste server time. */
-    private boolean hasNoUtilityLeft(Call call) {
-        return call.cls.lateWorth() == 0 && now >= call.aimAt;
+    private boolean hasNoUtilityLeft(PendingRequest pending) {
+        return pending.requestClass.lateUtilityShare() == 0 && now >= pending.latencyTargetAt;
     }
 
     @Override
     public void onOutcome(long nowUs, Outcome outcome) {
         now = nowUs;
-        Call call = calls.get(outcome.requestId());
+        PendingRequest pending = pendingById.get(outcome.requestId());
         int attempt = outcome.attempt();
-        if (call == null || attempt < 0 || attempt >= call.attempts || call.results[attempt] != null) {
+        if (pending == null || attempt < 0 || attempt >= pending.attemptCount
+                || pending.results[attempt] != null) {
             return;
         }
-        Server server = call.servers[attempt];
+        Server server = pending.servers[attempt];
         Result result = outcome.result();
-        call.results[attempt] = result;
-        call.outstanding--;
+        pending.results[attempt] = result;
+        pending.attemptsInFlight--;
         server.inFlight--;
-        if (server.zone >= 0 && (result == Result.OK || result == Result.ERROR || result == Result.FULL)) {
+        if (server.zone >= 0
+                && (result == Result.OK || result == Result.ERROR || result == Result.REJECTED)) {
             zoneUnansweredSince[server.zone] = 0;
         }
         totalInFlight -= isInUse(server) ? 1 : 0;
         server.unreachable = result == Result.CONNECT_FAILED;
         if (result == Result.OK) {
             recordSuccess(server);
-        } else if (outcome.isTelling()) {
+        } else if (outcome.isInformative()) {
             // The timeout of a server that has since responded is a sign of overload, like a rejection.
-            boolean overloaded = result == Result.FULL
-                    || result == Result.TIMEOUT && server.answeredAt >= call.sentAt[attempt];
+            boolean overloaded = result == Result.REJECTED
+                    || result == Result.TIMEOUT && server.lastResponseAt >= pending.sentAt[attempt];
             recordFailure(server, !overloaded);
-            if (result != Result.FULL && result != Result.TIMEOUT) {
-                server.faults += SERVER_SMOOTHING * (1 - server.faults);
+            if (result != Result.REJECTED && result != Result.TIMEOUT) {
+                server.failureShare += SERVER_SMOOTHING * (1 - server.failureShare);
                 updateRelativeLatency(server, FAILURE_RELATIVE_LATENCY);
             }
         }
         if (result == Result.OK || result == Result.ERROR) {
-            server.answeredAt = now;
+            server.lastResponseAt = now;
         }
-        if (outcome.isTelling()) {
-            recordClassOutcome(call, attempt);
-            double meanUs = meanLatencyUs[call.request.classIndex()];
+        if (outcome.isInformative()) {
+            recordClassOutcome(pending, attempt);
+            double meanUs = meanLatencyUs[pending.request.classIndex()];
             if ((result == Result.OK || result == Result.TIMEOUT) && meanUs > 0) {
-                updateRelativeLatency(server, outcome.servedUs() / meanUs);
+                updateRelativeLatency(server, outcome.latencyWithoutLagUs() / meanUs);
             }
-            boolean onTime = now - outcome.stallUs() <= call.aimAt;
+            boolean onTime = now - outcome.loopLagUs() <= pending.latencyTargetAt;
             notOnTimeShare += MEAN_SMOOTHING * ((result != Result.OK || !onTime ? 1 : 0) - notOnTimeShare);
             if (result == Result.OK || result == Result.TIMEOUT) {
                 // Errors are no sign of overload, nor is work that takes longer than its latency target.
-                double minMeanUs = minMeanLatencyUs[call.request.classIndex()];
+                double minMeanUs = minMeanLatencyUs[pending.request.classIndex()];
                 boolean slowByWork = minMeanUs < Double.MAX_VALUE
-                        && outcome.servedUs() < UNLOADED_LATENCY_FACTOR * minMeanUs;
-                updateOnTimeRatio(result != Result.OK ? 0 : onTime || slowByWork ? 1 : call.cls.lateWorth());
+                        && outcome.latencyWithoutLagUs() < UNLOADED_LATENCY_FACTOR * minMeanUs;
+                updateOnTimeRatio(result != Result.OK ? 0 : onTime || slowByWork ? 1
+                        : pending.requestClass.lateUtilityShare());
             }
-            adaptLimit(call, attempt, outcome);
+            adaptLimit(pending, attempt, outcome);
         }
         if (outcome.requestEnded()) {
-            finish(call);
-        } else if (!call.ended && call.outstanding == 0) {
-            failOver(call, server);
+            finish(pending);
+        } else if (!pending.ended && pending.attemptsInFlight == 0) {
+            failOver(pending, server);
         }
-        removeIfFinished(call);
+        removeIfFinished(pending);
         serveDeferred();
         scheduleWake();
     }
@@ -418,18 +427,18 @@
     @Override
     public void onFirstByte(long nowUs, long requestId, int attempt) {
         now = nowUs;
-        Call call = calls.get(requestId);
-        if (call != null) {
-            call.streaming = true;
+        PendingRequest pending = pendingById.get(requestId);
+        if (pending != null) {
+            pending.streaming = true;
         }
     }
 
     @Override
-    public void onClientGone(long nowUs, long requestId) {
+    public void onClientDisconnected(long nowUs, long requestId) {
         now = nowUs;
-        Call call = calls.get(requestId);
-        if (call != null) {
-            finish(call);
+        PendingRequest pending = pendingById.get(requestId);
+        if (pending != null) {
+            finish(pending);
         }
     }
 
@@ -437,10 +446,10 @@
     public void onProbe(long nowUs, String serverId, Result result, long probeLatencyUs, double[] report) {
         now = nowUs;
         Server server = serversById.get(serverId);
-        if (server == null || !server.asked) {
+        if (server == null || !server.probeInFlight) {
             return;
         }
-        server.asked = false;
+        server.probeInFlight = false;
         if (result != Result.OK) {
             // Adds no error and ejects nothing: a congested server drops probes and still serves requests.
             updateRelativeLatency(server, SLOW_LATENCY_FACTOR);
@@ -448,18 +457,18 @@
             meanProbeUs += smoothing(++probeSamples) * (probeLatencyUs - meanProbeUs);
             updateRelativeLatency(server, Math.min(FAILURE_RELATIVE_LATENCY, probeLatencyUs / meanProbeUs));
         }
-        List<Call> waitingCalls = new ArrayList<>(server.askers);
-        server.askers.clear();
-        for (Call call : waitingCalls) {
-            if (!call.asking) {
+        List<PendingRequest> waitingRequests = new ArrayList<>(server.awaitingProbe);
+        server.awaitingProbe.clear();
+        for (PendingRequest pending : waitingRequests) {
+            if (!pending.awaitingProbes) {
                 continue;
             }
-            if (result == Result.OK && maySend(call, server)) {
-                call.asking = false;
-                send(call, server);
-            } else if (--call.asksOut == 0) {
-                call.asking = false;
-                sendOrDefer(call);
+            if (result == Result.OK && maySend(pending, server)) {
+                pending.awaitingProbes = false;
+                send(pending, server);
+            } else if (--pending.probesPending == 0) {
+                pending.awaitingProbes = false;
+                sendOrDefer(pending);
             }
         }
         serveDeferred();
@@ -479,11 +488,11 @@
     }
 
     private void scheduleWake() {
-        while (!awaitingProbes.isEmpty() && !awaitingProbes.peek().asking) {
+        while (!awaitingProbes.isEmpty() && !awaitingProbes.peek().awaitingProbes) {
             awaitingProbes.poll();
         }
         long wakeAt = deferredQueue.isEmpty() ? listRequestAt : Math.min(listRequestAt, now + queueScanUs);
-        wakeAt = awaitingProbes.isEmpty() ? wakeAt : Math.min(wakeAt, awaitingProbes.peek().decideAt);
+        wakeAt = awaitingProbes.isEmpty() ? wakeAt : Math.min(wakeAt, awaitingProbes.peek().probeWaitEndsAt);
         if (wakeAt < pendingWakeAt) {
             pendingWakeAt = Math.max(wakeAt, now + 1);
             actions.wakeAt(pendingWakeAt);
@@ -494,11 +503,11 @@
 
     /** Adds one to the error count. A failure that isn't a sign of overload may eject the server. */
     private void recordFailure(Server server, boolean ejectable) {
-        server.errors++;
+        server.errorCount++;
         weightsStale = true;
         if (ejectable) {
-            server.history = server.history << 1 | 1;
-            server.trialsWon = 0;
+            server.outcomeBits = server.outcomeBits << 1 | 1;
+            server.trialSuccesses = 0;
             if (server.ejected || recentFailures(server) >= EJECT_FAILURES) {
                 eject(server);
             }
@@ -507,15 +516,15 @@
 
     /** Clears the error count; an ejected server is restored only after several successes in a row. */
     private void recordSuccess(Server server) {
-        server.history <<= 1;
-        server.servedAt = now;
-        server.faults -= SERVER_SMOOTHING * server.faults;
+        server.outcomeBits <<= 1;
+        server.lastSuccessAt = now;
+        server.failureShare -= SERVER_SMOOTHING * server.failureShare;
         if (!server.ejected) {
             clearErrors(server);
             return;
         }
         server.trialAt = now;
-        if (++server.trialsWon >= RESTORE_SUCCESSES) {
+        if (++server.trialSuccesses >= RESTORE_SUCCESSES) {
             log("restored server " + server.id);
             resetFailureState(server);
             recountServersInUse();
@@ -528,24 +537,25 @@
      * twice as long after each single attempt that fails. As with ejection, this affects at most half of the
      * servers.
      */
-    private void recordClassOutcome(Call call, int attempt) {
-        Server server = call.servers[attempt];
-        int classIndex = call.request.classIndex();
-        switch (call.results[attempt]) {
-            case OK -> server.heardAt[classIndex] = now;
-            case ERROR, RESET -> server.misses[classIndex]++;
-            case TIMEOUT -> server.misses[classIndex] +=
-                    server.heardAt[classIndex] < call.sentAt[attempt] ? 1 : 0;
+    private void recordClassOutcome(PendingRequest pending, int attempt) {
+        Server server = pending.servers[attempt];
+        int classIndex = pending.request.classIndex();
+        switch (pending.results[attempt]) {
+            case OK -> server.classLastSuccessAt[classIndex] = now;
+            case ERROR, RESET -> server.classFailures[classIndex]++;
+            case TIMEOUT -> server.classFailures[classIndex] +=
+                    server.classLastSuccessAt[classIndex] < pending.sentAt[attempt] ? 1 : 0;
             default -> { }
         }
-        server.misses[classIndex] = call.results[attempt] == Result.OK ? 0 : server.misses[classIndex];
+        server.classFailures[classIndex] = pending.results[attempt] == Result.OK ? 0
+                : server.classFailures[classIndex];
         ejectForClass(server, classIndex);
     }
 
     private void ejectForClass(Server server, int classIndex) {
-        int excessFailures = server.misses[classIndex] - CLASS_EJECT_FAILURES;
+        int excessFailures = server.classFailures[classIndex] - CLASS_EJECT_FAILURES;
         if (excessFailures >= 0 && !wouldEjectMajority(server, classIndex)) {
-            server.outUntil[classIndex] = now
+            server.classEjectedUntil[classIndex] = now
                     + Math.min(MAX_EJECT_US, 2 * MIN_EJECT_US << Math.min(excessFailures, HISTORY_SIZE));
         }
     }
@@ -553,16 +563,16 @@
     /** Whether with this server more than half of the servers would be ejected for a class. */
     private boolean wouldEjectMajority(Server server, int classIndex) {
         return ready.length < 2 + 2 * Arrays.stream(ready)
-                .filter(s -> s != server && (s.ejected || now < s.outUntil[classIndex])).count();
+                .filter(s -> s != server && (s.ejected || now < s.classEjectedUntil[classIndex])).count();
     }
 
     private static int recentFailures(Server server) {
-        return Integer.bitCount(server.history & (1 << HISTORY_SIZE) - 1);
+        return Integer.bitCount(server.outcomeBits & (1 << HISTORY_SIZE) - 1);
     }
 
     private void clearErrors(Server server) {
-        weightsStale |= server.errors > 0;
-        server.errors = 0;
+        weightsStale |= server.errorCount > 0;
+        server.errorCount = 0;
     }
 
     // ---------------------------------------------------------------- ejection
@@ -579,26 +589,26 @@
                 return;
             }
             server.ejected = true;
-            server.ejectedForUs = MIN_EJECT_US / 2;
+            server.ejectionUs = MIN_EJECT_US / 2;
             log("ejected server " + server.id + " after " + recentFailures(server) + " failures");
             // Class ejections end where, with this one, they would leave less than half of the servers.
             for (int classIndex = 0; classIndex < latencySamples.length; classIndex++) {
                 for (int i = 0; i < ready.length && wouldEjectMajority(server, classIndex); i++) {
-                    ready[i].outUntil[classIndex] = 0;
+                    ready[i].classEjectedUntil[classIndex] = 0;
                 }
             }
         }
-        server.ejectedForUs = Math.min(MAX_EJECT_US, 2 * server.ejectedForUs);
-        server.trialAt = now + server.ejectedForUs / 2 + random.nextLong(server.ejectedForUs);
+        server.ejectionUs = Math.min(MAX_EJECT_US, 2 * server.ejectionUs);
+        server.trialAt = now + server.ejectionUs / 2 + random.nextLong(server.ejectionUs);
         recountServersInUse();
     }
 
     /** Clears the failures and the ejection of a server and sets its limit to the initial one. */
     private void resetFailureState(Server server) {
         clearErrors(server);
-        server.history = 0;
+        server.outcomeBits = 0;
         server.ejected = false;
-        server.trialsWon = 0;
+        server.trialSuccesses = 0;
         server.limit = initialLimit();
     }
 
@@ -610,10 +620,10 @@
     }
 
     /** Returns an ejected server due for a trial with this request, or null; null for unsafe requests. */
-    private Server findTrialServer(Call call) {
+    private Server findTrialServer(PendingRequest pending) {
         for (Server server : ready) {
-            if (server.ejected && call.cls.repeat() != Repeat.UNSAFE && now >= server.trialAt
-                    && server.inFlight == 0 && isAllowed(call, server)) {
+            if (server.ejected && pending.requestClass.retrySafety() != RetrySafety.UNSAFE
+                    && now >= server.trialAt && server.inFlight == 0 && isAllowed(pending, server)) {
                 return server;
             }
         }
@@ -625,12 +635,12 @@
      * no other server has capacity for, or null. If all servers are overloaded, one that fails half of its
      * requests is better than none.
      */
-    private Server findEjectedFallback(Call call) {
+    private Server findEjectedFallback(PendingRequest pending) {
         Server best = null;
         for (Server server : ready) {
-            if (server.ejected && call.cls.repeat() != Repeat.UNSAFE && !isAtLimit(server)
-                    && !server.unreachable && !hasJustTried(call, server)
-                    && now < server.servedAt + MAX_EJECT_US && isAllowed(call, server)
+            if (server.ejected && pending.requestClass.retrySafety() != RetrySafety.UNSAFE
+                    && !isAtLimit(server) && !server.unreachable && !hasJustTried(pending, server)
+                    && now < server.lastSuccessAt + MAX_EJECT_US && isAllowed(pending, server)
                     && (best == null || recentFailures(server) < recentFailures(best))) {
                 best = server;
             }
@@ -667,47 +677,49 @@
     // ---------------------------------------------------------------- server selection
 
     /** Returns an ejected server due for a trial, else the better of two samples, else a fallback or null. */
-    private Server pickServer(Call call) {
-        Server trialServer = findTrialServer(call);
-        Server server = trialServer == null ? pickByZone(call) : trialServer;
-        return server == null ? findEjectedFallback(call) : server;
+    private Server pickServer(PendingRequest pending) {
+        Server trialServer = findTrialServer(pending);
+        Server server = trialServer == null ? pickByZone(pending) : trialServer;
+        return server == null ? findEjectedFallback(pending) : server;
     }
 
     /**
-     * Extension (asking): if nodes outnumber servers, the requests of one node in flight say little about a
+     * Extension (probing): if nodes outnumber servers, the requests of one node in flight say little about a
      * server. Where probes are allowed, both sampled servers are probed and the first to respond gets the
      * request; if neither responds soon, the usual choice decides. Servers in slow start aren't probed,
      * because probes use up their budget too. Returns whether the request now waits for probe results.
      */
-    private boolean startedProbes(Call call) {
-        double meanUs = meanLatencyUs[call.request.classIndex()];
+    private boolean startedProbes(PendingRequest pending) {
+        double meanUs = meanLatencyUs[pending.request.classIndex()];
         long waitUs = Math.max(3 * settings.tickUs, (long) (PROBE_WAIT_SHARE * meanUs));
-        if (!settings.probes || settings.nodes <= ready.length || meanUs == 0 || findTrialServer(call) != null
-                || call.aimAt - now < 2 * waitUs
-                || call.worth / meanUtility * notOnTimeShare * PROBE_SAVED_SHARE < 2 * settings.probePrice) {
+        if (!settings.allowProbes || settings.nodes <= ready.length || meanUs == 0
+                || findTrialServer(pending) != null || pending.latencyTargetAt - now < 2 * waitUs
+                || pending.utility / meanUtility * notOnTimeShare * PROBE_SAVED_SHARE
+                        < 2 * settings.probePrice) {
             return false;
         }
-        Server first = pickByZone(call);
-        Server second = first == null ? null : pickByZone(call);
+        Server first = pickByZone(pending);
+        Server second = first == null ? null : pickByZone(pending);
         if (second == null || second == first || first.inFlight != second.inFlight
-                || first.faults + second.faults > PROBE_MAX_FAILURE_SHARE
+                || first.failureShare + second.failureShare > PROBE_MAX_FAILURE_SHARE
                 || isInSlowStart(first) || isInSlowStart(second)) {
             return false;
         }
-        call.asking = true;
-        call.asksOut = 2;
-        call.decideAt = now + waitUs;
-        awaitingProbes.add(call);
-        probe(first, call);
-        probe(second, call);
+        pending.awaitingProbes = true;
+        pending.probesPending = 2;
+        pending.probeWaitEndsAt = now + waitUs;
+        awaitingProbes.add(pending);
+        probe(first, pending);
+        probe(second, pending);
         return true;
     }
 
-    private void probe(Server server, Call call) {
-        server.askers.removeIf(c -> !c.asking); // They would pile up if a probe result got lost.
-        server.askers.add(call);
-        if (!server.asked) {
-            server.asked = true;
+    private void probe(Server server, PendingRequest pending) {
+        // They would pile up if a probe result got lost.
+        server.awaitingProbe.removeIf(waiting -> !waiting.awaitingProbes);
+        server.awaitingProbe.add(pending);
+        if (!server.probeInFlight) {
+            server.probeInFlight = true;
             actions.probe(server.id);
         }
     }
@@ -715,33 +727,33 @@
     /** Sends or defers the requests whose probes have had no result in time. */
     private void endExpiredProbeWaits() {
         while (!awaitingProbes.isEmpty()
-                && (!awaitingProbes.peek().asking || awaitingProbes.peek().decideAt <= now)) {
-            Call call = awaitingProbes.poll();
-            if (call.asking) {
-                call.asking = false;
-                sendOrDefer(call);
+                && (!awaitingProbes.peek().awaitingProbes || awaitingProbes.peek().probeWaitEndsAt <= now)) {
+            PendingRequest pending = awaitingProbes.poll();
+            if (pending.awaitingProbes) {
+                pending.awaitingProbes = false;
+                sendOrDefer(pending);
             }
         }
     }
 
-    private Server pickByZone(Call call) {
-        Server server = pickOfTwo(call, localZone);
+    private Server pickByZone(PendingRequest pending) {
+        Server server = pickOfTwo(pending, localZone);
         if (localZone == allZones) {
             return server;
         }
         // Extension (zones): if crossing zones has a price, both samples are local. A pick from all zones
         // wins only if the local one is at its limit, has more errors or 2 more requests in flight.
-        if (server != null && server.inFlight < SPILL_IN_FLIGHT && server.errors == 0) {
+        if (server != null && server.inFlight < SPILL_IN_FLIGHT && server.errorCount == 0) {
             return server;
         }
-        Server other = pickOfTwo(call, allZones);
+        Server other = pickOfTwo(pending, allZones);
         return server == null || other != null && (other.inFlight + SPILL_IN_FLIGHT <= server.inFlight
-                || other.errors < server.errors) ? other : server;
+                || other.errorCount < server.errorCount) ? other : server;
     }
 
-    private Server pickOfTwo(Call call, Pool pool) {
-        Server first = sample(call, pool, null);
-        Server second = first == null ? null : sample(call, pool, first);
+    private Server pickOfTwo(PendingRequest pending, Pool pool) {
+        Server first = sample(pending, pool, null);
+        Server second = first == null ? null : sample(pending, pool, first);
         if (second == null || first.inFlight < second.inFlight) {
             return first;
         }
@@ -757,24 +769,24 @@
     /** Returns the relative latency of a server (1 = as the mean of each class); it decays towards 1. */
     private double relativeLatency(Server server) {
         double decayUs = RELATIVE_LATENCY_DECAY_ROUNDS * servedGapUs * Math.max(1, ready.length);
-        return 1 + (server.pace - 1) * Math.exp(-(now - server.paceAt) / decayUs);
+        return 1 + (server.relativeLatency - 1) * Math.exp(-(now - server.relativeLatencyAt) / decayUs);
     }
 
     private void updateRelativeLatency(Server server, double sample) {
         double previous = relativeLatency(server);
-        server.pace = previous + SERVER_SMOOTHING * (sample - previous);
-        server.paceAt = now;
+        server.relativeLatency = previous + SERVER_SMOOTHING * (sample - previous);
+        server.relativeLatencyAt = now;
     }
 
     /** Samples one server by weight among those that may be sent to, without {@code excluded}, or null. */
-    private Server sample(Call call, Pool pool, Server excluded) {
+    private Server sample(PendingRequest pending, Pool pool, Server excluded) {
         Server[] servers = pool.servers;
         if (weightsStale) {
             recomputeWeights();
         }
         for (int i = 0; i <= MAX_RESAMPLES && servers.length > 0; i++) {
             Server server = servers[sampleIndex(pool)];
-            if (server != excluded && maySend(call, server)) {
+            if (server != excluded && maySend(pending, server)) {
                 return server;
             }
         }
@@ -783,7 +795,7 @@
         Server picked = null;
         double totalWeight = 0;
         for (Server server : servers) {
-            if (server != excluded && maySend(call, server)) {
+            if (server != excluded && maySend(pending, server)) {
                 totalWeight += weight(server);
                 picked = random.nextDouble() * totalWeight < weight(server) ? server : picked;
             }
@@ -801,7 +813,7 @@
     private void recomputeWeights() {
         int maxErrors = 0;
         for (Server server : ready) {
-            maxErrors = Math.max(maxErrors, server.errors);
+            maxErrors = Math.max(maxErrors, server.errorCount);
         }
         maxErrorFactor = Math.floor(Math.pow(1 + maxErrors, 1.5));
         accumulateWeights(allZones);
@@ -822,40 +834,40 @@
      * size of the server; with equal sizes this changes nothing.
      */
     private double weight(Server server) {
-        return server.size * Math.ceil(maxErrorFactor / (1 + server.errors));
+        return server.effectiveSize * Math.ceil(maxErrorFactor / (1 + server.errorCount));
     }
 
     /** Fails over to the next server in list order, or defers the request, or ends it. */
-    private void failOver(Call call, Server failedServer) {
-        if (!mayAttempt(call)) {
-            endUnserved(call);
+    private void failOver(PendingRequest pending, Server failedServer) {
+        if (!mayAttempt(pending)) {
+            endUnserved(pending);
             return;
         }
-        List<Server> tried = Arrays.asList(call.servers);
+        List<Server> tried = Arrays.asList(pending.servers);
         for (int pass = 0; pass < 2; pass++) {
             for (int i = 1; i <= ready.length; i++) {
-                Server next = ready[(failedServer.position + i) % ready.length];
+                Server next = ready[(failedServer.readyIndex + i) % ready.length];
                 // Extension (zones): if crossing has a price, local servers without errors come first.
-                boolean preferred = next.errors == 0 && (localZone == allZones || isLocal(next));
-                if ((preferred || pass > 0) && !tried.contains(next) && maySend(call, next)) {
-                    send(call, next);
+                boolean preferred = next.errorCount == 0 && (localZone == allZones || isLocal(next));
+                if ((preferred || pass > 0) && !tried.contains(next) && maySend(pending, next)) {
+                    send(pending, next);
                     return;
                 }
             }
         }
-        defer(call);
+        defer(pending);
     }
 
     // ---------------------------------------------------------------- the deferred queue
 
     /** Adds a request to the deferred queue: by priority, first come first served among equals. */
-    private void defer(Call call) {
-        call.waiting = true;
+    private void defer(PendingRequest pending) {
+        pending.deferred = true;
         int index = deferredQueue.size();
-        while (index > 0 && BY_PRIORITY.compare(deferredQueue.get(index - 1), call) > 0) {
+        while (index > 0 && BY_PRIORITY.compare(deferredQueue.get(index - 1), pending) > 0) {
             index--;
         }
-        deferredQueue.add(index, call);
+        deferredQueue.add(index, pending);
     }
 
     /**
@@ -871,36 +883,38 @@
         boolean[] noServerForClass = new boolean[settings.classes.size()];
         boolean needsSort = false;
         for (int i = 0; i < deferredQueue.size(); i++) {
-            Call call = deferredQueue.get(i);
-            if (!call.waiting) {
+            PendingRequest pending = deferredQueue.get(i);
+            if (!pending.deferred) {
                 continue;
             }
-            boolean expectedLate = call.aimAt - now < Math.min(LATE_MAX_SHARE * (call.aimAt - call.arrivedAt),
-                    LATE_MEAN_LATENCIES * meanLatencyUs[call.request.classIndex()]);
-            if (call.deadlineAt - now <= queueScanUs + settings.tickUs
-                    || expectedLate && call.cls.lateWorth() == 0
-                    || call.binding() < 0 && now + queueScanUs >= call.refuseAt || !mayAttempt(call)) {
-                call.waiting = false;
-                endUnserved(call);
+            boolean expectedLate = pending.latencyTargetAt - now < Math.min(
+                    LATE_MAX_SHARE * (pending.latencyTargetAt - pending.arrivedAt),
+                    LATE_MEAN_LATENCIES * meanLatencyUs[pending.request.classIndex()]);
+            if (pending.deadlineAt - now <= queueScanUs + settings.tickUs
+                    || expectedLate && pending.requestClass.lateUtilityShare() == 0
+                    || pending.firstPossiblyRunAttempt() < 0 && now + queueScanUs >= pending.refuseAt
+                    || !mayAttempt(pending)) {
+                pending.deferred = false;
+                endUnserved(pending);
                 continue;
             }
-            if (expectedLate && !call.late) {
-                call.late = true;
-                call.value *= call.cls.lateWorth();
+            if (expectedLate && !pending.priorityLowered) {
+                pending.priorityLowered = true;
+                pending.queuePriority *= pending.requestClass.lateUtilityShare();
                 needsSort = true;
-                deferredQueue.set(keptCount++, call);
+                deferredQueue.set(keptCount++, pending);
                 continue;
             }
-            int classIndex = call.request.classIndex();
-            Server server = noServerForClass[classIndex] ? null : pickServer(call);
+            int classIndex = pending.request.classIndex();
+            Server server = noServerForClass[classIndex] ? null : pickServer(pending);
             if (server != null) {
-                call.waiting = false;
-                send(call, server);
+                pending.deferred = false;
+                send(pending, server);
             } else {
                 // A request without attempts may go to any server that its class may use: if it finds none,
                 // nor does the next one of its class.
-                noServerForClass[classIndex] |= call.attempts == 0;
-                deferredQueue.set(keptCount++, call);
+                noServerForClass[classIndex] |= pending.attemptCount == 0;
+                deferredQueue.set(keptCount++, pending);
             }
         }
         deferredQueue.subList(keptCount, deferredQueue.size()).clear();
@@ -914,9 +928,9 @@
      * reduced if its tenant exceeds this node's part of the quota, divided by the mean latency of the class
      * as the measure of work. Uses up quota of the tenant.
      */
-    private double queuePriority(Call call) {
-        double utility = call.cls.worth();
-        int tenant = call.request.tenant();
+    private double queuePriority(PendingRequest pending) {
+        double utility = pending.requestClass.utility();
+        int tenant = pending.request.tenantIndex();
         double nodeQuotaPerS = tenant < 0 ? 0 : settings.tenants.get(tenant).quotaPerS() / settings.nodes;
         if (nodeQuotaPerS > 0) {
             double maxTokens = Math.max(1, nodeQuotaPerS * QUOTA_BURST_S);
@@ -926,13 +940,13 @@
             if (quotaTokens[tenant] >= 1) {
                 quotaTokens[tenant]--;
             } else {
-                utility *= settings.overShareWorth;
+                utility *= settings.overQuotaUtilityShare;
             }
         }
-        call.worth = utility;
+        pending.utility = utility;
         meanUtility += smoothing(++utilitySamples) * (utility - meanUtility);
-        return settings.worthByWork ? utility
-                : utility / Math.max(1, meanLatencyUs[call.request.classIndex()]);
+        return settings.utilityPerWork ? utility
+                : utility / Math.max(1, meanLatencyUs[pending.request.classIndex()]);
     }
 
     // ---------------------------------------------------------------- concurrency limits
@@ -943,34 +957,34 @@
      * timeouts. It matters only if a pick would exceed the limit of the server, or the node the sum of all
      * limits (with many nodes, the part of each in the limit of a server is below one).
      */
-    private void adaptLimit(Call call, int attempt, Outcome outcome) {
-        Server server = call.servers[attempt];
+    private void adaptLimit(PendingRequest pending, int attempt, Outcome outcome) {
+        Server server = pending.servers[attempt];
         double previousLimit = server.limit;
         if (outcome.result() == Result.OK) {
-            int classIndex = call.request.classIndex();
+            int classIndex = pending.request.classIndex();
             // Skips all responses under event-loop lag: keeping only the clearly slow ones biases the mean.
-            meanLatencyUs[classIndex] += outcome.stallUs() > queueScanUs ? 0
+            meanLatencyUs[classIndex] += outcome.loopLagUs() > queueScanUs ? 0
                     : smoothing(++latencySamples[classIndex])
-                            * (outcome.servedUs() - meanLatencyUs[classIndex]);
+                            * (outcome.latencyWithoutLagUs() - meanLatencyUs[classIndex]);
             // The mean of a few responses is random; until there are more, only the latency target counts.
             minMeanLatencyUs[classIndex] = latencySamples[classIndex] * MEAN_SMOOTHING < 0.5
                     ? Double.MAX_VALUE
                     : Math.min(minMeanLatencyUs[classIndex] * MIN_LATENCY_DRIFT, meanLatencyUs[classIndex]);
-            double slowFromUs = Math.min(SLOW_TARGET_SHARE * call.aimUs,
+            double slowFromUs = Math.min(SLOW_TARGET_SHARE * pending.latencyTargetUs,
                     SLOW_LATENCY_FACTOR * minMeanLatencyUs[classIndex]);
             servedGapUs += smoothing(++servedCount) * (now - lastServedAt - servedGapUs);
             lastServedAt = now;
-            if (outcome.servedUs() <= slowFromUs) {
+            if (outcome.latencyWithoutLagUs() <= slowFromUs) {
                 // A server in slow start gets few requests and responds fast: with a limit above the others',
                 // all nodes together would overload it as soon as slow start ends.
-                server.limit += server.wantedAt >= call.sentAt[attempt]
+                server.limit += server.limitReachedAt >= pending.sentAt[attempt]
                         && (!isInSlowStart(server) || server.limit * ready.length < limitSum)
                         ? limitIncrease : 0;
             } else {
-                decreaseLimit(call, attempt, limitDecrease);
+                decreaseLimit(pending, attempt, limitDecrease);
             }
         } else if (outcome.result() == Result.TIMEOUT) {
-            decreaseLimit(call, attempt, LIMIT_TIMEOUT_DECREASE);
+            decreaseLimit(pending, attempt, LIMIT_TIMEOUT_DECREASE);
         }
         if (isInUse(server)) {
             limitSum += server.limit - previousLimit;
@@ -978,11 +992,11 @@
     }
 
     /** Lowers the limit of a server, only once for all attempts sent before the last decrease. */
-    private void decreaseLimit(Call call, int attempt, double decrease) {
-        Server server = call.servers[attempt];
-        if (call.sentAt[attempt] >= server.limitCutAt) {
+    private void decreaseLimit(PendingRequest pending, int attempt, double decrease) {
+        Server server = pending.servers[attempt];
+        if (pending.sentAt[attempt] >= server.limitDecreasedAt) {
             server.limit = Math.max(1.0 / settings.nodes, server.limit * (1 - decrease));
-            server.limitCutAt = now;
+            server.limitDecreasedAt = now;
         }
     }
 
@@ -995,7 +1009,7 @@
         // shrinks with the on-time ratio, to 0 at a half: bursts make an overloaded fleet collapse.
         double burstAllowance = LIMIT_SUM_BURST * Math.max(0, 2 * onTimeRatio - 1) * Math.sqrt(limitSum);
         if (isAtLimit(server) || totalInFlight > 0 && totalInFlight + 1 > limitSum + burstAllowance) {
-            server.wantedAt = now;
+            server.limitReachedAt = now;
             return true;
         }
         return false;
@@ -1021,14 +1035,14 @@
 
     // ---------------------------------------------------------------- sending
 
-    private void send(Call call, Server server) {
+    private void send(PendingRequest pending, Server server) {
         // Read before this attempt counts, because the window starts with an earlier one.
-        long sendByUs = call.repeatableUntil();
-        int attempt = call.attempts++;
+        long sendByUs = pending.retryAllowedUntil();
+        int attempt = pending.attemptCount++;
         sendTokens = Math.max(0, sendTokens - 1);
-        call.servers[attempt] = server;
-        call.sentAt[attempt] = now;
-        call.outstanding++;
+        pending.servers[attempt] = server;
+        pending.sentAt[attempt] = now;
+        pending.attemptsInFlight++;
         server.inFlight++;
         if (server.zone >= 0) {
             zoneLastSentAt[server.zone] = now;
@@ -1038,52 +1052,59 @@
         totalInFlight += isInUse(server) ? 1 : 0;
         lastServedAt = lastServedAt == 0 ? now : lastServedAt;
         if (isInSlowStart(server)) {
-            server.coldSentAt = now;
-            server.coldPhase = 1;
+            server.slowStartSentAt = now;
+            server.slowStartGapShare = 1;
         }
-        long untilUs = attemptDeadline(call);
-        if (server.misses[call.request.classIndex()] > 0) {
-            ejectForClass(server, call.request.classIndex());
-            untilUs = Math.min(untilUs, suspectClassDeadline(call));
+        long untilUs = attemptDeadline(pending);
+        if (server.classFailures[pending.request.classIndex()] > 0) {
+            ejectForClass(server, pending.request.classIndex());
+            untilUs = Math.min(untilUs, suspectClassDeadline(pending));
         }
-        actions.send(call.request.id(), server.id, untilUs, sendByUs);
+        actions.send(pending.request.id(), server.id, untilUs, sendByUs);
     }
 
-    /** Extension (time-out at the aim): an attempt ends once its response would earn nothing any more. */
-    private long attemptDeadline(Call call) {
-        return call.cls.lateWorth() > 0 || clientRetriesFailures(call.cls) || call.cls.stream()
-                ? call.deadlineAt : call.aimAt;
+    /**
+     * Extension (timeout at the latency target): an attempt ends once its response would earn nothing any
+     * more.
+     */
+    private long attemptDeadline(PendingRequest pending) {
+        return pending.requestClass.lateUtilityShare() > 0 || clientRetriesFailures(pending.requestClass)
+                || pending.requestClass.streamed()
+                ? pending.deadlineAt : pending.latencyTargetAt;
     }
 
     /** Bounds an attempt at a server that just failed its class, to leave time for a retry elsewhere. */
-    private long suspectClassDeadline(Call call) {
-        long halfLeftUs = (call.aimAt - now) / 2;
-        return call.cls.repeat() == Repeat.UNSAFE || halfLeftUs <= 0 ? Long.MAX_VALUE
+    private long suspectClassDeadline(PendingRequest pending) {
+        long halfLeftUs = (pending.latencyTargetAt - now) / 2;
+        return pending.requestClass.retrySafety() == RetrySafety.UNSAFE || halfLeftUs <= 0 ? Long.MAX_VALUE
                 : now + Math.max(halfLeftUs,
-                        (long) (LATE_MEAN_LATENCIES * meanLatencyUs[call.request.classIndex()]));
+                        (long) (LATE_MEAN_LATENCIES * meanLatencyUs[pending.request.classIndex()]));
     }
 
     /** Whether clients also retry after a failure, and not only after a refusal. */
-    private static boolean clientRetriesFailures(RequestClass cls) {
-        return cls.repeat() == Repeat.SAFE || cls.repeat() == Repeat.KEYED && cls.group() == Group.ALL;
+    private static boolean clientRetriesFailures(RequestClass requestClass) {
+        return requestClass.retrySafety() == RetrySafety.SAFE
+                || requestClass.retrySafety() == RetrySafety.KEYED
+                && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
     // ---------------------------------------------------------------- final responses and permitted attempts
 
     /** Ends a request without a response from a server: refuses it if a retry has no second effect. */
-    private void endUnserved(Call call) {
-        boolean retryIsHarmless = switch (call.cls.repeat()) {
+    private void endUnserved(PendingRequest pending) {
+        boolean retryIsHarmless = switch (pending.requestClass.retrySafety()) {
             case SAFE -> true;
-            case KEYED -> call.binding() < 0 || call.cls.group() == Group.ALL;
-            case UNSAFE -> call.binding() < 0;
+            case KEYED -> pending.firstPossiblyRunAttempt() < 0
+                    || pending.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+            case UNSAFE -> pending.firstPossiblyRunAttempt() < 0;
         };
         // A refusal makes clients retry that wouldn't retry a failure; without utility that is wasted work.
-        if (retryIsHarmless && (clientRetriesFailures(call.cls) || !hasNoUtilityLeft(call))) {
-            actions.refuse(call.request.id(), retryAfterUs());
+        if (retryIsHarmless && (clientRetriesFailures(pending.requestClass) || !hasNoUtilityLeft(pending))) {
+            actions.refuse(pending.request.id(), retryAfterUs());
         } else {
-            actions.fail(call.request.id());
+            actions.fail(pending.request.id());
         }
-        finish(call);
+        finish(pending);
     }
 
     /** Returns the time in which the deferred requests and one more should be served, up to the maximum. */
@@ -1096,35 +1117,36 @@
         return Math.max(servedGapUs, MEAN_SMOOTHING * (now - lastServedAt));
     }
 
-    private void finish(Call call) {
-        call.ended = true;
-        call.waiting = false;
-        call.asking = false;
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && settings.cancel; i++) {
-            if (call.results[i] == null) {
-                actions.cancel(call.request.id(), i);
+    private void finish(PendingRequest pending) {
+        pending.ended = true;
+        pending.deferred = false;
+        pending.awaitingProbes = false;
+        for (int i = 0; i < pending.attemptCount && pending.attemptsInFlight > 0
+                && settings.allowCancel; i++) {
+            if (pending.results[i] == null) {
+                actions.cancel(pending.request.id(), i);
             }
         }
-        removeIfFinished(call);
+        removeIfFinished(pending);
     }
 
-    private void removeIfFinished(Call call) {
-        if (call.ended && call.outstanding == 0) {
-            calls.remove(call.request.id());
+    private void removeIfFinished(PendingRequest pending) {
+        if (pending.ended && pending.attemptsInFlight == 0) {
+            pendingById.remove(pending.request.id());
         }
     }
 
     /** Whether another attempt is permitted and useful, at whichever server. */
-    private boolean mayAttempt(Call call) {
-        return call.attempts < settings.maxAttempts && now < call.deadlineAt && !call.streaming
-                && !hasNoUtilityLeft(call) && now <= call.repeatableUntil();
+    private boolean mayAttempt(PendingRequest pending) {
+        return pending.attemptCount < settings.maxAttempts && now < pending.deadlineAt && !pending.streaming
+                && !hasNoUtilityLeft(pending) && now <= pending.retryAllowedUntil();
     }
 
     /** Whether a server may get the next attempt: not ejected, silent or at its limit, and permitted. */
-    private boolean maySend(Call call, Server server) {
-        return !server.ejected && now >= server.outUntil[call.request.classIndex()]
-                && !isZoneSilent(server, meanLatencyUs[call.request.classIndex()])
-                && !hasJustTried(call, server) && !isOverLimit(server) && isAllowed(call, server);
+    private boolean maySend(PendingRequest pending, Server server) {
+        return !server.ejected && now >= server.classEjectedUntil[pending.request.classIndex()]
+                && !isZoneSilent(server, meanLatencyUs[pending.request.classIndex()])
+                && !hasJustTried(pending, server) && !isOverLimit(server) && isAllowed(pending, server);
     }
 
     /**
@@ -1148,32 +1170,33 @@
     }
 
     /** Whether the request went there less than a mean latency ago: quick failures use up its attempts. */
-    private boolean hasJustTried(Call call, Server server) {
-        for (int i = 0; i < call.attempts; i++) {
-            if (call.servers[i] == server
-                    && now < call.sentAt[i] + meanLatencyUs[call.request.classIndex()]) {
+    private boolean hasJustTried(PendingRequest pending, Server server) {
+        for (int i = 0; i < pending.attemptCount; i++) {
+            if (pending.servers[i] == server
+                    && now < pending.sentAt[i] + meanLatencyUs[pending.request.classIndex()]) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether the server list, the slow start budget and the group of a keyed request permit a send. */
-    private boolean isAllowed(Call call, Server server) {
+    /** Whether the server list, the slow start budget and the deduplication scope permit a send. */
+    private boolean isAllowed(PendingRequest pending, Server server) {
         if (server.state != ServerState.READY
-                || isInSlowStart(server) && now < server.coldSentAt + slowStartGapUs(server)) {
+                || isInSlowStart(server) && now < server.slowStartSentAt + slowStartGapUs(server)) {
             return false;
         }
-        int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
-        return binding < 0 || switch (call.cls.group()) {
+        int firstPossiblyRun = pending.requestClass.retrySafety() == RetrySafety.KEYED
+                ? pending.firstPossiblyRunAttempt() : -1;
+        return firstPossiblyRun < 0 || switch (pending.requestClass.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> server.zone == call.servers[binding].zone;
-            case CELL -> server.cell == call.servers[binding].cell;
+            case ZONE -> server.zone == pending.servers[firstPossiblyRun].zone;
+            case CELL -> server.cell == pending.servers[firstPossiblyRun].cell;
         };
     }
 
     private boolean isInSlowStart(Server server) {
-        return server.startedAt > 0 && now < server.startedAt + settings.coldUs;
+        return server.startedAt > 0 && now < server.startedAt + settings.slowStartUs;
     }
 
     /**
@@ -1181,16 +1204,18 @@
      * the server's part, by nominal sizes, of the attempts served to this node, times the share of its
      * capacity that it has by now. Arriving requests are no measure, as retries multiply them under
      * congestion; nor are current weights, which are several times too large for an idle server. All nodes
-     * together may send {@link Settings#fallMultiple} units; each uses {@link #SLOW_START_BUDGET_SHARE} of
+     * together may send {@link Settings#overloadFactor} units; each uses {@link #SLOW_START_BUDGET_SHARE} of
      * that, evenly spaced, the first after a random part of the interval.
      */
     private long slowStartGapUs(Server server) {
-        double progress = Math.max(0, now - server.startedAt) / (double) settings.coldUs;
-        double capacityShare = settings.coldFrom + (1 - settings.coldFrom) * Math.min(1, progress);
+        double progress = Math.max(0, now - server.startedAt) / (double) settings.slowStartUs;
+        double capacityShare = settings.slowStartMinShare
+                + (1 - settings.slowStartMinShare) * Math.min(1, progress);
         // A node that has just started has seen only current weights, which may be lowered by load.
-        double sizeShare = Math.min(server.nominal / Math.max(server.nominal, totalNominalSize),
+        double sizeShare = Math.min(server.nominalSize / Math.max(server.nominalSize, totalNominalSize),
                 MAX_SIZE_RATIO / Math.max(1, ready.length));
-        double budgetUnits = Math.max(1, SLOW_START_BUDGET_SHARE * settings.fallMultiple);
-        return (long) (server.coldPhase * expectedServedGapUs() / (sizeShare * capacityShare * budgetUnits));
+        double budgetUnits = Math.max(1, SLOW_START_BUDGET_SHARE * settings.overloadFactor);
+        return (long) (server.slowStartGapShare * expectedServedGapUs()
+                / (sizeShare * capacityShare * budgetUnits));
     }
 }
--- a/src/main/java/cedarrelay/benchlink/BootInfo.java
+++ b/src/main/java/cedarrelay/benchlink/BootInfo.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 
-import cedarrelay.Balancer.Group;
-import cedarrelay.Balancer.Repeat;
+import cedarrelay.Balancer.DeduplicationScope;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.ReportField;
 import cedarrelay.Balancer.RequestClass;
 import cedarrelay.Balancer.Settings;
@@ -48,23 +48,23 @@
             String prefix = "realms." + i + ".";
             settings.tenants.add(new Tenant(require(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
-        settings.overShareWorth = decimal("overShareWorth", settings.overShareWorth);
-        settings.worthByWork = "work".equals(values.get("countedBy"));
+        settings.overQuotaUtilityShare = decimal("overShareWorth", settings.overQuotaUtilityShare);
+        settings.utilityPerWork = "work".equals(values.get("countedBy"));
         settings.maxAttempts = (int) wholeNumber("limits.attemptsCap", settings.maxAttempts);
-        settings.secondCopies = flag("limits.parallelTries");
-        settings.cancel = flag("limits.cancelling");
-        settings.probes = flag("limits.probes");
-        settings.marksRetry = flag("callers.marksRetry");
+        settings.allowParallelAttempts = flag("limits.parallelTries");
+        settings.allowCancel = flag("limits.cancelling");
+        settings.allowProbes = flag("limits.probes");
+        settings.clientsMarkRetries = flag("callers.marksRetry");
         settings.maxRetryAfterUs = wholeNumber("limits.maxRetryAfterUs", 0);
         settings.tickUs = wholeNumber("quantumUs", settings.tickUs);
         settings.connectTimeoutUs = wholeNumber("limits.dialTimeoutUs", settings.connectTimeoutUs);
         settings.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        settings.askWithinUs = wholeNumber("rules.askWithinUs", settings.askWithinUs);
+        settings.listRequestIntervalUs = wholeNumber("rules.askWithinUs", settings.listRequestIntervalUs);
         settings.drainGraceUs = wholeNumber("rules.drainGraceUs", settings.drainGraceUs);
-        settings.coldFrom = decimal("rules.coldFrom", settings.coldFrom);
-        settings.coldUs = wholeNumber("rules.coldUs", settings.coldUs);
-        settings.fallMultiple = decimal("rules.overloadFactor", settings.fallMultiple);
-        settings.fallUs = wholeNumber("rules.fallUs", settings.fallUs);
+        settings.slowStartMinShare = decimal("rules.coldFrom", settings.slowStartMinShare);
+        settings.slowStartUs = wholeNumber("rules.coldUs", settings.slowStartUs);
+        settings.overloadFactor = decimal("rules.overloadFactor", settings.overloadFactor);
+        settings.overloadWindowUs = wholeNumber("rules.fallUs", settings.overloadWindowUs);
         settings.crossZonePrice = decimal("costs.crossZone", settings.crossZonePrice);
         settings.probePrice = decimal("costs.probe", settings.probePrice);
         for (String field : list("report.fields")) {
@@ -82,22 +82,22 @@
     }
 
     private RequestClass requestClass(String prefix) {
-        String repeat = require(prefix + "repeat");
-        String group = values.getOrDefault(prefix + "group", "all");
+        String retrySafety = require(prefix + "repeat");
+        String scope = values.getOrDefault(prefix + "group", "all");
         return new RequestClass(require(prefix + "name"), wholeNumber(prefix + "onTimeUs"),
                 decimal(prefix + "aimStretch", 0), wholeNumber(prefix + "giveUpUs"),
                 decimal(prefix + "importance", 1), decimal(prefix + "lateWorth", 0),
-                switch (repeat) {
-                    case "safe" -> Repeat.SAFE;
-                    case "keyed" -> Repeat.KEYED;
-                    case "unsafe" -> Repeat.UNSAFE;
-                    default -> throw invalid(prefix + "repeat", "is unknown: " + repeat);
+                switch (retrySafety) {
+                    case "safe" -> RetrySafety.SAFE;
+                    case "keyed" -> RetrySafety.KEYED;
+                    case "unsafe" -> RetrySafety.UNSAFE;
+                    default -> throw invalid(prefix + "repeat", "is unknown: " + retrySafety);
                 },
-                switch (group) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    case "cell" -> Group.CELL;
-                    default -> throw invalid(prefix + "group", "is unknown: " + group);
+                switch (scope) {
+                    case "all" -> DeduplicationScope.ALL;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    case "cell" -> DeduplicationScope.CELL;
+                    default -> throw invalid(prefix + "group", "is unknown: " + scope);
                 },
                 wholeNumber(prefix + "windowUs", 0), flag(prefix + "stream"));
     }
--- a/src/main/java/cedarrelay/benchlink/Link.java
+++ b/src/main/java/cedarrelay/benchlink/Link.java
@@ -131,7 +131,7 @@
         }
         if (line.is("client_gone")) {
             long id = line.id("handle");
-            return () -> balancer.onClientGone(atUs, id);
+            return () -> balancer.onClientDisconnected(atUs, id);
         }
         if (line.is("first_byte")) {
             long id = line.id("handle");
@@ -194,7 +194,7 @@
                     switch (state) {
                         case "Running" -> ServerState.READY;
                         case "Stopping" -> ServerState.DRAINING;
-                        case "Deleted" -> ServerState.GONE;
+                        case "Deleted" -> ServerState.REMOVED;
                         default -> throw line.bad("lifecycle", "is unknown: " + state);
                     }, line.decimal("scale", 1), line.whole("sinceUs", 0)));
         }
@@ -248,12 +248,12 @@
         return switch ((int) code) {
             case 10 -> Result.OK;
             case 20 -> Result.ERROR;
-            case 30 -> Result.FULL;
+            case 30 -> Result.REJECTED;
             case 40 -> Result.TIMEOUT;
             case 50 -> Result.CONNECT_FAILED;
             case 60 -> Result.RESET;
             case 70 -> Result.CANCELLED;
-            case 80 -> Result.MOOT;
+            case 80 -> Result.NOT_SENT;
             default -> throw line.bad("rc", "is unknown: " + code);
         };
     }
--- a/src/main/java/cedarrelay/node/ClientRequest.java
+++ b/src/main/java/cedarrelay/node/ClientRequest.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import cedarrelay.Balancer.Repeat;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.RequestClass;
 import cedarrelay.Balancer.Settings;
 import io.netty.buffer.ByteBufUtil;
@@ -91,11 +91,12 @@
                 throw new BadRequest(HttpResponseStatus.NOT_FOUND, "unknown class of request");
             }
             RequestClass requestClass = settings.classes.get(classIndex);
-            HttpMethod method = requestClass.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
+            HttpMethod method = requestClass.retrySafety() == RetrySafety.SAFE ? HttpMethod.GET
+                    : HttpMethod.POST;
             if (!http.method().equals(method)) {
                 throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
             }
-            if (requestClass.repeat() == Repeat.KEYED && !headers.contains(IDEMPOTENCY_KEY)) {
+            if (requestClass.retrySafety() == RetrySafety.KEYED && !headers.contains(IDEMPOTENCY_KEY)) {
                 throw badRequest(IDEMPOTENCY_KEY + " is missing");
             }
             String tenantName = headers.get(TENANT);
--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -20,7 +20,7 @@
 import cedarrelay.Balancer;
 import cedarrelay.Balancer.ListKind;
 import cedarrelay.Balancer.Outcome;
-import cedarrelay.Balancer.Repeat;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.Request;
 import cedarrelay.Balancer.RequestClass;
 import cedarrelay.Balancer.Result;
@@ -150,7 +150,7 @@
             deadlineTimer.cancel(false);
             for (PendingAttempt attempt : new ArrayList<>(attempts)) {
                 if (attempt.poolAttempt != null && !attempt.poolAttempt.isOut()) {
-                    attempt.poolAttempt.giveUp(Result.MOOT);
+                    attempt.poolAttempt.giveUp(Result.NOT_SENT);
                 }
             }
             removeIfDone();
@@ -228,11 +228,13 @@
             }
         }
 
-        /** Whether an earlier attempt is still open, or may have run although the class forbids a repeat. */
+        /** Whether an earlier attempt is still open, or may have run although the class forbids a retry. */
         private boolean couldRunTwice() {
-            Repeat repeat = config.settings().classes.get(request.exchange.request().classIndex()).repeat();
-            return repeat != Repeat.SAFE && request.attempts.stream().limit(number).anyMatch(earlier ->
-                    earlier.result == null || repeat == Repeat.UNSAFE && !earlier.result.neverRan);
+            RetrySafety retrySafety = config.settings().classes
+                    .get(request.exchange.request().classIndex()).retrySafety();
+            return retrySafety != RetrySafety.SAFE
+                    && request.attempts.stream().limit(number).anyMatch(earlier ->
+                    earlier.result == null || retrySafety == RetrySafety.UNSAFE && !earlier.result.neverRan);
         }
 
         @Override
@@ -253,7 +255,7 @@
             }
             request.removeIfDone();
             long tookUs = nowUs() - decidedUs;
-            if (result == Result.MOOT) {
+            if (result == Result.NOT_SENT) {
                 metrics.count(Counter.ATTEMPTS_NOT_SENT);
             }
             LOG.log(Level.DEBUG, () -> "request " + hex(request.id) + " attempt " + number + " at " + serverId
@@ -486,7 +488,7 @@
     private void onDisconnect(PendingRequest request) {
         recordEnd(request, Counter.REQUESTS_ABANDONED, "client disconnected");
         request.finish();
-        callBalancer(request, () -> balancer.onClientGone(nowUs(), request.id));
+        callBalancer(request, () -> balancer.onClientDisconnected(nowUs(), request.id));
     }
 
     /** Fails a request at the client's deadline if the decision module has not ended it before. */
@@ -495,7 +497,7 @@
             LOG.log(Level.WARNING, "request {0} has no response at its deadline, failing it",
                     hex(request.id));
             failRequest(request, HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
-            callBalancer(request, () -> balancer.onClientGone(nowUs(), request.id));
+            callBalancer(request, () -> balancer.onClientDisconnected(nowUs(), request.id));
         }
     }
 
@@ -528,7 +530,7 @@
         request.attempts.add(attempt);
         request.openAttempts++;
         if (now >= timeoutAtUs || now > sendByUs) {
-            attempt.ended(Result.MOOT, null);
+            attempt.ended(Result.NOT_SENT, null);
             return;
         }
         attempt.timeoutTimer = scheduleAt(timeoutAtUs, () -> attempt.poolAttempt.giveUp(Result.TIMEOUT));
--- a/src/main/java/cedarrelay/node/Rehearsal.java
+++ b/src/main/java/cedarrelay/node/Rehearsal.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-import cedarrelay.Balancer.Repeat;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.RequestClass;
 import cedarrelay.Balancer.ServerState;
 import io.netty.buffer.ByteBuf;
@@ -97,7 +97,7 @@
 
     private ByteBuf createRequest(int number) {
         RequestClass requestClass = config.settings().classes.get(number % config.settings().classes.size());
-        boolean safe = requestClass.repeat() == Repeat.SAFE;
+        boolean safe = requestClass.retrySafety() == RetrySafety.SAFE;
         String tenant = config.settings().tenants.isEmpty() ? ""
                 : "X-Org: " + config.settings().tenants.get(0).name() + "\r\n";
         return Unpooled.copiedBuffer((safe ? "GET" : "POST") + " /" + requestClass.name() + " HTTP/1.1\r\n"
@@ -105,7 +105,8 @@
                 + tenant
                 + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + HEADER + ": " + token + "\r\n"
                 + (safe ? "" : "Content-Length: 4\r\n")
-                + (requestClass.repeat() == Repeat.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
+                + (requestClass.retrySafety() == RetrySafety.KEYED
+                        ? "Idempotency-Key: " + number + "\r\n" : "")
                 + "\r\n" + (safe ? "" : "body"), StandardCharsets.US_ASCII);
     }
 
--- a/src/main/java/cedarrelay/node/ServerList.java
+++ b/src/main/java/cedarrelay/node/ServerList.java
@@ -75,7 +75,7 @@
             targets.forEach(target -> byId.put(target.id(), target));
         }
         next.targets.forEach(target -> byId.put(target.id(), target));
-        byId.values().removeIf(target -> target.state() == ServerState.GONE);
+        byId.values().removeIf(target -> target.state() == ServerState.REMOVED);
         return new ServerList(next.revision, true, List.copyOf(byId.values()));
     }
 
@@ -88,7 +88,7 @@
                 switch (state) {
                     case "Ready" -> ServerState.READY;
                     case "Terminating" -> ServerState.DRAINING;
-                    case "Gone" -> ServerState.GONE;
+                    case "Gone" -> ServerState.REMOVED;
                     default -> throw new IllegalArgumentException("unknown state " + state);
                 }, entry.has("capacity_hint") ? finiteWeight(entry.get("capacity_hint").getAsDouble()) : 1,
                 entry.has("boot_ms") ? entry.get("boot_ms").getAsLong() : 0);
--- a/src/main/java/cedarrelay/node/ServerPool.java
+++ b/src/main/java/cedarrelay/node/ServerPool.java
@@ -59,7 +59,7 @@
         /**
          * Reports the result, exactly once for each attempt.
          *
-         * @param answer the response if the result is OK, ERROR or FULL, else null
+         * @param answer the response if the result is OK, ERROR or REJECTED, else null
          */
         void ended(Result result, Answer answer);
     }
@@ -104,7 +104,7 @@
 
         /**
          * Abandons the attempt if it has not ended yet, and reports it. An attempt without a connection is
-         * never sent and is reported as MOOT, or as CONNECT_FAILED if it timed out: an unreachable server
+         * never sent and is reported as NOT_SENT, or as CONNECT_FAILED if it timed out: an unreachable server
          * must not look as if nothing had been tried. A request that was not written completely can't have
          * run and is reported as CONNECT_FAILED. Only a completely written one is reported with the given
          * result.
@@ -117,7 +117,7 @@
             }
             if (connection == null) {
                 server.waiting.remove(this);
-                end(result == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
+                end(result == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.NOT_SENT, null);
                 return;
             }
             Connection usedConnection = connection;
@@ -211,7 +211,7 @@
 
     /**
      * Applies a server list or a change of it. Idle connections to an earlier address or process are closed.
-     * Attempts that wait for a connection to a restarted, draining or removed server end as MOOT.
+     * Attempts that wait for a connection to a restarted, draining or removed server end as NOT_SENT.
      */
     void update(ServerList list) {
         Set<String> listedIds = new HashSet<>();
@@ -222,7 +222,7 @@
             boolean restarted = target.bootMs() > server.bootMs;
             server.address = target.address();
             server.bootMs = target.bootMs();
-            server.removed = target.state() == ServerState.GONE;
+            server.removed = target.state() == ServerState.REMOVED;
             server.draining = target.state() == ServerState.DRAINING;
             if (moved || restarted) {
                 server.generation++;
@@ -250,7 +250,7 @@
 
     /**
      * Starts an attempt. Its result may be reported before this method returns: CONNECT_FAILED if the server
-     * is unknown, MOOT if it drains or the attempt is no longer wanted.
+     * is unknown, NOT_SENT if it drains or the attempt is no longer wanted.
      */
     Attempt start(String serverId, Caller caller) {
         boolean mayWriteNow = mayWrite.getAsBoolean();
@@ -261,13 +261,13 @@
             return attempt;
         }
         if (server.draining) {
-            attempt.end(Result.MOOT, null);
+            attempt.end(Result.NOT_SENT, null);
             return attempt;
         }
         Connection connection = mayWriteNow ? takeIdle(server) : null;
         if (connection != null && !caller.isWanted()) {
             server.idle.push(connection);
-            attempt.end(Result.MOOT, null);
+            attempt.end(Result.NOT_SENT, null);
         } else if (connection != null) {
             connection.send(attempt);
         } else {
@@ -338,12 +338,12 @@
     }
 
     /**
-     * Ends the waiting attempts as MOOT: by the time that a connection is established, nothing new may be
+     * Ends the waiting attempts as NOT_SENT: by the time that a connection is established, nothing new may be
      * sent to the server.
      */
     private static void endWaitingAttempts(Server server) {
         for (Attempt next = server.waiting.poll(); next != null; next = server.waiting.poll()) {
-            next.end(Result.MOOT, null);
+            next.end(Result.NOT_SENT, null);
         }
     }
 
@@ -471,7 +471,7 @@
             }
             Attempt next = mayWriteNow ? server.waiting.poll() : null;
             while (next != null && !next.caller.isWanted()) {
-                next.end(Result.MOOT, null);
+                next.end(Result.NOT_SENT, null);
                 next = server.waiting.poll();
             }
             if (next != null) {
@@ -570,7 +570,8 @@
             } else {
                 channel.close();
             }
-            answered.end(answer.status() == 200 ? Result.OK : rejected ? Result.FULL : Result.ERROR, answer);
+            answered.end(answer.status() == 200 ? Result.OK : rejected ? Result.REJECTED : Result.ERROR,
+                    answer);
         }
 
         /**
--- a/src/test/java/cedarrelay/FleetTest.java
+++ b/src/test/java/cedarrelay/FleetTest.java
@@ -51,16 +51,16 @@
             this.newServers = newServers;
             settings.nodes = nodes;
             settings.zones.add("here");
-            settings.classes.add(Node.settingsWithLateUtility().classes.get(Node.SAFE));
+            settings.classes.add(TestNode.settingsWithLateUtility().classes.get(TestNode.SAFE));
             settings.tenants.add(new Tenant("tenant", 0));
             settings.maxAttempts = 4;
-            settings.cancel = true;
-            settings.probes = true;
+            settings.allowCancel = true;
+            settings.allowProbes = true;
             settings.probePrice = 0.0001;
-            settings.coldFrom = 0.3;
-            settings.coldUs = 9_000_000;
-            settings.fallUs = 1_000_000;
-            settings.fallMultiple = 2.5;
+            settings.slowStartMinShare = 0.3;
+            settings.slowStartUs = 9_000_000;
+            settings.overloadWindowUs = 1_000_000;
+            settings.overloadFactor = 2.5;
             for (int i = 0; i < newServers; i++) {
                 sendTimesUs.add(new ArrayList<>());
             }
@@ -81,7 +81,7 @@
 
         /** Runs one node from its start until the new servers are warm. */
         private void runNode(long nodeStartUs, double requestsPerS) {
-            Node node = new Node(settings, random.nextLong());
+            TestNode node = new TestNode(settings, random.nextLong());
             node.nowUs = nodeStartUs;
             PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::atUs));
             node.updateServers(ListKind.CACHED, serverList(nodeStartUs > SERVER_START_US));
@@ -92,12 +92,12 @@
             events.add(new Event(nodeStartUs, () -> submitAndScheduleNext(node, events, requestsPerS)));
             int processed = 0;
             int responses = random.nextInt(RESPONSES_PER_ERROR);
-            while (!events.isEmpty() && events.peek().atUs() < SERVER_START_US + settings.coldUs) {
+            while (!events.isEmpty() && events.peek().atUs() < SERVER_START_US + settings.slowStartUs) {
                 Event next = events.poll();
                 node.advanceClock(Math.max(0, next.atUs() - node.nowUs));
                 next.action().run();
                 for (; processed < node.sent.size(); processed++) {
-                    Node.SentAttempt attempt = node.sent.get(processed);
+                    TestNode.SentAttempt attempt = node.sent.get(processed);
                     countSend(attempt.serverId(), attempt.sentAtUs());
                     Result result = ++responses % RESPONSES_PER_ERROR == 0 ? Result.ERROR : Result.OK;
                     events.add(new Event(
@@ -116,7 +116,7 @@
         }
 
         /** Submits a request and schedules the next one after an exponentially distributed gap. */
-        private void submitAndScheduleNext(Node node, PriorityQueue<Event> events, double requestsPerS) {
+        private void submitAndScheduleNext(TestNode node, PriorityQueue<Event> events, double requestsPerS) {
             node.submit(0);
             events.add(new Event(
                     node.nowUs + (long) (-Math.log(1 - random.nextDouble()) / requestsPerS * 1e6),
@@ -140,11 +140,11 @@
     void delayedWeightsThatFollowLoadDoNotMakeAllNodesOscillateTogether() {
         int nodes = 30;
         int servers = 12;
-        Settings settings = Node.settings();
+        Settings settings = TestNode.settings();
         settings.nodes = nodes;
-        List<Node> fleet = new ArrayList<>();
+        List<TestNode> fleet = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            fleet.add(new Node(settings, i).withServers(servers));
+            fleet.add(new TestNode(settings, i).withServers(servers));
         }
         SplittableRandom random = new SplittableRandom(3);
         long[] inFlight = new long[servers];
@@ -162,13 +162,13 @@
             while (!responses.isEmpty() && responses.peek().atUs() <= nowUs) {
                 responses.poll().action().run();
             }
-            for (Node node : fleet) {
+            for (TestNode node : fleet) {
                 node.advanceClock(nowUs - node.nowUs);
                 // Each node gets ten requests a second, so that each server has five in flight on average.
                 if (random.nextInt(10) == 0) {
-                    node.submit(Node.SAFE);
+                    node.submit(TestNode.SAFE);
                 }
-                for (Node.SentAttempt attempt : node.sent) {
+                for (TestNode.SentAttempt attempt : node.sent) {
                     int server = Integer.parseInt(attempt.serverId().substring(1));
                     inFlight[server]++;
                     responses.add(new Event(nowUs + 150_000 + random.nextInt(100_000), () -> {
@@ -214,21 +214,21 @@
             totalSends += sendTimes.size();
             for (int from = 0, to = 0; from < sendTimes.size(); from++) {
                 while (to < sendTimes.size()
-                        && sendTimes.get(to) < sendTimes.get(from) + fleet.settings.fallUs) {
+                        && sendTimes.get(to) < sendTimes.get(from) + fleet.settings.overloadWindowUs) {
                     to++;
                 }
                 double warmUpProgress = (sendTimes.get(from) - SERVER_START_US)
-                        / (double) fleet.settings.coldUs;
-                double share = fleet.settings.coldFrom
-                        + (1 - fleet.settings.coldFrom) * Math.min(1, warmUpProgress);
-                double limit = fleet.settings.fallMultiple * share * requestsPerSPerServer
-                        * fleet.settings.fallUs / 1e6;
+                        / (double) fleet.settings.slowStartUs;
+                double share = fleet.settings.slowStartMinShare
+                        + (1 - fleet.settings.slowStartMinShare) * Math.min(1, warmUpProgress);
+                double limit = fleet.settings.overloadFactor * share * requestsPerSPerServer
+                        * fleet.settings.overloadWindowUs / 1e6;
                 assertTrue(to - from <= limit + 2 * Math.sqrt(limit) + 2, (to - from) + " sends within "
-                        + "fallUs exceed the limit of " + limit + " at this part of slow start: "
+                        + "overloadWindowUs exceed the limit of " + limit + " at this part of slow start: "
                         + warmUpProgress);
             }
         }
-        double evenShare = requestsPerSPerServer * newServers * fleet.settings.coldUs / 1e6;
+        double evenShare = requestsPerSPerServer * newServers * fleet.settings.slowStartUs / 1e6;
         assertTrue(totalSends > 0.2 * evenShare,
                 "servers in slow start get too little: " + totalSends + " of " + evenShare);
     }
--- a/src/test/java/cedarrelay/RandomEventsTest.java
+++ b/src/test/java/cedarrelay/RandomEventsTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import cedarrelay.Balancer.Group;
+import cedarrelay.Balancer.DeduplicationScope;
 import cedarrelay.Balancer.ListKind;
 import cedarrelay.Balancer.Outcome;
-import cedarrelay.Balancer.Repeat;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.Request;
 import cedarrelay.Balancer.RequestClass;
 import cedarrelay.Balancer.Result;
@@ -66,7 +66,7 @@
     /** Stands in for a node and fails the test on the first action that violates a rule. */
     private static final class RuleChecker implements Balancer.Actions {
         final SplittableRandom random;
-        final Settings settings = Node.settings();
+        final Settings settings = TestNode.settings();
         final Balancer balancer;
         /** All requests so far, by id. */
         final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
@@ -87,21 +87,22 @@
 
         RuleChecker(long seed) {
             random = new SplittableRandom(seed);
-            settings.classes.replaceAll(original -> new RequestClass(original.name(), original.aimUs(), 0,
-                    original.deadlineUs(), original.worth(), random.nextInt(2) * 0.5, original.repeat(),
-                    original.group(), 80_000, false));
+            settings.classes.replaceAll(original -> new RequestClass(original.name(),
+                    original.latencyTargetUs(), 0, original.deadlineUs(), original.utility(),
+                    random.nextInt(2) * 0.5, original.retrySafety(), original.deduplicationScope(),
+                    80_000, false));
             settings.nodes = 1 + random.nextInt(5);
             settings.maxAttempts = 1 + random.nextInt(5);
-            settings.cancel = random.nextBoolean();
-            settings.secondCopies = random.nextBoolean();
-            settings.probes = random.nextBoolean();
+            settings.allowCancel = random.nextBoolean();
+            settings.allowParallelAttempts = random.nextBoolean();
+            settings.allowProbes = random.nextBoolean();
             settings.nodes *= random.nextBoolean() ? 1 : 10;
             settings.listOnRequest = random.nextBoolean();
             settings.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
             settings.tickUs = 1_000 * (1 + random.nextInt(5));
             settings.drainGraceUs = 0;
-            settings.coldUs = 8_000_000;
-            settings.coldFrom = 0.2;
+            settings.slowStartUs = 8_000_000;
+            settings.slowStartMinShare = 0.2;
             balancer = new ServiceQBalancer(settings, seed, this);
         }
 
@@ -119,20 +120,22 @@
             assertTrue(request.attempts.size() < settings.maxAttempts);
             Attempt firstPossibleRun = request.firstThatMayHaveRun();
             if (firstPossibleRun != null) {
-                assertTrue(request.requestClass.repeat() != Repeat.UNSAFE,
+                assertTrue(request.requestClass.retrySafety() != RetrySafety.UNSAFE,
                         "rule 2: an unsafe request that may have run was sent again");
-                if (request.requestClass.repeat() == Repeat.KEYED) {
-                    assertTrue(nowUs <= firstPossibleRun.sentAtUs + request.requestClass.windowUs(),
+                if (request.requestClass.retrySafety() == RetrySafety.KEYED) {
+                    assertTrue(nowUs <= firstPossibleRun.sentAtUs
+                                    + request.requestClass.deduplicationWindowUs(),
                             "rule 2: a keyed request was sent again after its window");
-                    assertTrue(sameGroup(request.requestClass.group(), firstPossibleRun.server, server),
-                            "rule 2: a keyed request was sent again outside its group");
+                    assertTrue(inSameScope(request.requestClass.deduplicationScope(), firstPossibleRun.server,
+                                    server),
+                            "rule 2: a keyed request was sent again outside its deduplication scope");
                 }
-                assertTrue(settings.secondCopies
+                assertTrue(settings.allowParallelAttempts
                         || request.attempts.stream().allMatch(earlier -> earlier.result != null));
             }
             assertTrue(server.state() == ServerState.READY,
                     "rule 3: an attempt was sent to a draining or removed server");
-            if (server.startedAtUs() > 0 && nowUs < server.startedAtUs() + settings.coldUs) {
+            if (server.startedAtUs() > 0 && nowUs < server.startedAtUs() + settings.slowStartUs) {
                 slowStartSends.computeIfAbsent(server, key -> new ArrayList<>())
                         .add(new long[] {nowUs, readyServers()});
             }
@@ -148,12 +151,14 @@
 
         /** The ordinal of a random result, a success in most cases. */
         private int randomResult() {
-            Result[] failures = {Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.MOOT};
+            Result[] failures = {Result.ERROR, Result.REJECTED, Result.CONNECT_FAILED, Result.RESET,
+                Result.NOT_SENT};
             return (random.nextInt(8) > 0 ? Result.OK : failures[random.nextInt(failures.length)]).ordinal();
         }
 
-        private static boolean sameGroup(Group group, ServerEntry a, ServerEntry b) {
-            return group == Group.ALL || (group == Group.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
+        private static boolean inSameScope(DeduplicationScope scope, ServerEntry a, ServerEntry b) {
+            return scope == DeduplicationScope.ALL
+                    || (scope == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
         private void recordFinalAnswer(long id, boolean refused) {
@@ -164,9 +169,9 @@
             assertTrue(nowUs <= request.deadlineAtUs + settings.tickUs,
                     "rule 1: the final answer came after the client's deadline");
             if (refused && request.firstThatMayHaveRun() != null) {
-                assertTrue(request.requestClass.repeat() == Repeat.SAFE
-                        || request.requestClass.repeat() == Repeat.KEYED
-                        && request.requestClass.group() == Group.ALL,
+                assertTrue(request.requestClass.retrySafety() == RetrySafety.SAFE
+                        || request.requestClass.retrySafety() == RetrySafety.KEYED
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL,
                         "rule 2: a request was refused although a retry may take effect twice");
             }
             request.ended = true;
@@ -185,7 +190,7 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            assertTrue(settings.cancel);
+            assertTrue(settings.allowCancel);
             Attempt cancelled = requests.get(requestId).attempts.get(attempt);
             if (cancelled.result == null) {
                 pendingOutcomes.removeIf(outcome -> outcome[1] == requestId && outcome[2] == attempt);
@@ -201,7 +206,7 @@
 
         @Override
         public void probe(String serverId) {
-            assertTrue(settings.probes);
+            assertTrue(settings.allowProbes);
             probes++;
             pendingProbes.add(new PendingProbe(nowUs + 500 + random.nextInt(40_000), serverId));
         }
@@ -220,11 +225,13 @@
             TrackedRequest request = new TrackedRequest();
             int classIndex = random.nextInt(settings.classes.size());
             request.requestClass = settings.classes.get(classIndex);
-            long leftUs = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
-            request.deadlineAtUs = nowUs + leftUs;
+            long remainingUs = random.nextInt(10) == 0 ? random.nextInt(3_000)
+                    : 20_000 + random.nextInt(900_000);
+            request.deadlineAtUs = nowUs + remainingUs;
             long id = nextRequestId++;
             requests.put(id, request);
-            balancer.onRequest(nowUs, new Request(id, classIndex, random.nextInt(2) - 1, leftUs, 0, false));
+            balancer.onRequest(nowUs,
+                    new Request(id, classIndex, random.nextInt(2) - 1, remainingUs, 0, false));
         }
 
         void applyRandomListChange() {
@@ -234,14 +241,14 @@
                 ServerState state = ServerState.values()[Math.max(0, random.nextInt(5) - 2)];
                 ServerEntry entry = new ServerEntry("s" + number, number % 2, number % 3, state, 1,
                         state == ServerState.READY && random.nextInt(3) == 0 ? nowUs : 0);
-                if (servers.containsKey(entry.id()) || state != ServerState.GONE) {
+                if (servers.containsKey(entry.id()) || state != ServerState.REMOVED) {
                     changes.add(entry);
                 }
             }
             if (random.nextInt(6) == 0) {
-                changes.removeIf(entry -> entry.state() == ServerState.GONE);
-                servers.replaceAll((id, old) -> new ServerEntry(id, old.zone(), old.cell(), ServerState.GONE,
-                        1, old.startedAtUs()));
+                changes.removeIf(entry -> entry.state() == ServerState.REMOVED);
+                servers.replaceAll((id, old) -> new ServerEntry(id, old.zone(), old.cell(),
+                        ServerState.REMOVED, 1, old.startedAtUs()));
                 changes.forEach(entry -> servers.put(entry.id(), entry));
                 balancer.onServers(nowUs, ListKind.FULL, changes);
             } else {
@@ -284,7 +291,7 @@
                 if (!pendingOutcomes.isEmpty() && pendingOutcomes.peek()[0] <= nowUs) {
                     reportOutcome(pendingOutcomes.poll());
                 } else if (!pendingProbes.isEmpty() && pendingProbes.peek().atUs() <= nowUs) {
-                    Result[] probeResults = {Result.OK, Result.OK, Result.FULL, Result.TIMEOUT};
+                    Result[] probeResults = {Result.OK, Result.OK, Result.REJECTED, Result.TIMEOUT};
                     balancer.onProbe(nowUs, pendingProbes.poll().serverId(), probeResults[random.nextInt(4)],
                             1_000, null);
                 } else if (!wakeTimesUs.isEmpty() && wakeTimesUs.peek() <= nowUs) {
@@ -321,7 +328,7 @@
                 request.ended = true;
                 finalAnswers++;
             }
-            balancer.onClientGone(nowUs, id);
+            balancer.onClientDisconnected(nowUs, id);
         }
     }
 
@@ -334,9 +341,9 @@
                 "rule 1: each request must get exactly one final answer");
         assertTrue(checker.served > 100,
                 "too few requests were served for the run to mean anything: " + checker.served);
-        // Rule 4: within any fallUs the node sends to a server in slow start no more than its part of
-        // fallMultiple times the server's capacity. Its part of a warm server's capacity is taken to be its
-        // rate of served requests over the ready servers (three at most, as many are always removed). Two
+        // Rule 4: within any overloadWindowUs the node sends to a server in slow start no more than its part
+        // of overloadFactor times the server's capacity. Its part of a warm server's capacity is taken to be
+        // its rate of served requests over the ready servers (three at most, as many are always removed). Two
         // requests more are allowed for chance.
         double servedPerS = checker.served / ((checker.nowUs - 5_000_000) / 1e6);
         Settings settings = checker.settings;
@@ -344,15 +351,17 @@
             for (long[] firstSend : sends) {
                 List<long[]> sendsInSpan = sends.stream()
                         .filter(send -> send[0] >= firstSend[0]
-                                && send[0] < firstSend[0] + settings.fallUs).toList();
+                                && send[0] < firstSend[0] + settings.overloadWindowUs).toList();
                 double readyServers = Math.min(3,
                         sendsInSpan.stream().mapToLong(send -> send[1]).min().getAsLong());
                 double warmUpProgress = Math.min(1,
-                        (firstSend[0] + settings.fallUs - server.startedAtUs()) / (double) settings.coldUs);
-                double share = settings.coldFrom + (1 - settings.coldFrom) * warmUpProgress;
-                assertTrue(sendsInSpan.size() - 2 <= settings.fallMultiple * share * servedPerS
-                                / readyServers * settings.fallUs / 1e6,
-                        "rule 4: " + sendsInSpan.size() + " sends to a server in slow start within fallUs");
+                        (firstSend[0] + settings.overloadWindowUs - server.startedAtUs())
+                                / (double) settings.slowStartUs);
+                double share = settings.slowStartMinShare + (1 - settings.slowStartMinShare) * warmUpProgress;
+                assertTrue(sendsInSpan.size() - 2 <= settings.overloadFactor * share * servedPerS
+                                / readyServers * settings.overloadWindowUs / 1e6,
+                        "rule 4: " + sendsInSpan.size() + " sends to a server in slow start within "
+                                + "overloadWindowUs");
             }
         });
     }
--- a/src/test/java/cedarrelay/RulesTest.java
+++ b/src/test/java/cedarrelay/RequestGuaranteesTest.java
@@ -24,7 +24,7 @@
  * retry that could take effect twice, and nothing sent to a draining or removed server. Also how it requests
  * the server list and what it rejects.
  */
-class RulesTest {
+class RequestGuaranteesTest {
 
     private static ServerEntry server(String id, int zone, int cell, ServerState state) {
         return new ServerEntry(id, zone, cell, state, 1, 0);
@@ -36,17 +36,17 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "0, ERROR, again", "0, FULL, again", "0, TIMEOUT, again", "0, CONNECT_FAILED, again",
+        "0, ERROR, again", "0, REJECTED, again", "0, TIMEOUT, again", "0, CONNECT_FAILED, again",
         "0, RESET, again",
-        "1, ERROR, again", "1, FULL, again", "1, TIMEOUT, again", "1, CONNECT_FAILED, again",
+        "1, ERROR, again", "1, REJECTED, again", "1, TIMEOUT, again", "1, CONNECT_FAILED, again",
         "1, RESET, again",
-        "3, ERROR, again", "3, FULL, again", "3, TIMEOUT, again", "3, CONNECT_FAILED, again",
+        "3, ERROR, again", "3, REJECTED, again", "3, TIMEOUT, again", "3, CONNECT_FAILED, again",
         "3, RESET, again",
-        "4, ERROR, failed", "4, FULL, again", "4, TIMEOUT, failed", "4, CONNECT_FAILED, again",
+        "4, ERROR, failed", "4, REJECTED, again", "4, TIMEOUT, failed", "4, CONNECT_FAILED, again",
         "4, RESET, failed",
-        "4, CANCELLED, failed", "4, MOOT, again"})
+        "4, CANCELLED, failed", "4, NOT_SENT, again"})
     void retriesDependOnTheRequestClassAndTheResult(int classIndex, Result result, String expected) {
-        Node node = new Node().withServers(4);
+        TestNode node = new TestNode().withServers(4);
         long id = node.submit(classIndex);
         node.completeAttempt(id, result, 1_000);
         assertEquals(expected.equals("again") ? 2 : 1, node.attemptCount(id));
@@ -56,8 +56,8 @@
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsCellAndZone() {
-        for (int classIndex : new int[] {Node.KEYED_CELL, Node.KEYED_ZONE}) {
-            Node node = new Node();
+        for (int classIndex : new int[] {TestNode.KEYED_CELL, TestNode.KEYED_ZONE}) {
+            TestNode node = new TestNode();
             node.updateServers(ListKind.CACHED, List.of(server("a", 0, 1, ServerState.READY),
                     server("x", 1, 2, ServerState.READY),
                     server("b", 0, 1, ServerState.READY), server("y", 1, 2, ServerState.READY)));
@@ -72,30 +72,30 @@
 
     @Test
     void aKeyedRequestThatCertainlyNeverRanMayGoToAnyServer() {
-        Node node = new Node();
+        TestNode node = new TestNode();
         node.updateServers(ListKind.CACHED, List.of(server("a", 0, 1, ServerState.READY),
                     server("x", 1, 2, ServerState.READY)));
-        long id = node.submit(Node.KEYED_CELL);
-        node.completeAttempt(id, Result.FULL, 1_000);
+        long id = node.submit(TestNode.KEYED_CELL);
+        node.completeAttempt(id, Result.REJECTED, 1_000);
         assertEquals(2, node.attemptCount(id));
     }
 
     @Test
     void aKeyedRequestIsNotRetriedAfterItsWindowAndIsRefusedOnlyIfAllServersDropRepeats() {
-        for (int classIndex : new int[] {Node.KEYED_ALL, Node.KEYED_CELL}) {
-            Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(3);
+        for (int classIndex : new int[] {TestNode.KEYED_ALL, TestNode.KEYED_CELL}) {
+            TestNode node = new TestNode(TestNode.settingsWithLateUtility(), 7).withServers(3);
             long id = node.submit(classIndex);
             node.completeAttempt(id, Result.ERROR, 400_001);
             assertEquals(1, node.attemptCount(id));
-            assertEquals(classIndex == Node.KEYED_ALL ? List.of(id) : List.of(), node.refused);
-            assertEquals(classIndex == Node.KEYED_ALL ? List.of() : List.of(id), node.failed);
+            assertEquals(classIndex == TestNode.KEYED_ALL ? List.of(id) : List.of(), node.refused);
+            assertEquals(classIndex == TestNode.KEYED_ALL ? List.of() : List.of(id), node.failed);
         }
     }
 
     @Test
     void theWindowCountsFromTheFirstAttemptThatMayHaveRun() {
-        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(4);
-        long id = node.submit(Node.KEYED_ALL);
+        TestNode node = new TestNode(TestNode.settingsWithLateUtility(), 7).withServers(4);
+        long id = node.submit(TestNode.KEYED_ALL);
         node.completeAttempt(id, Result.CONNECT_FAILED, 300_000);
         node.completeAttempt(id, Result.ERROR, 300_000);
         assertEquals(3, node.attemptCount(id));
@@ -105,26 +105,26 @@
 
     @Test
     void aRetryMustBeSentInsideTheWindowUnlessNoAttemptCanHaveRun() {
-        Node node = new Node(Node.settingsWithLateUtility(), 7).withServers(4);
-        long id = node.submit(Node.KEYED_ALL);
-        assertEquals(Actions.ANY_TIME, node.latestAttempt(id).sendByUs());
+        TestNode node = new TestNode(TestNode.settingsWithLateUtility(), 7).withServers(4);
+        long id = node.submit(TestNode.KEYED_ALL);
+        assertEquals(Actions.NO_SEND_DEADLINE, node.latestAttempt(id).sendByUs());
         node.completeAttempt(id, Result.CONNECT_FAILED, 100_000);
-        assertEquals(Actions.ANY_TIME, node.latestAttempt(id).sendByUs());
+        assertEquals(Actions.NO_SEND_DEADLINE, node.latestAttempt(id).sendByUs());
         long windowEndUs = node.nowUs + 400_000;
         node.completeAttempt(id, Result.ERROR, 100_000);
         assertEquals(windowEndUs, node.latestAttempt(id).sendByUs());
         node.completeAttempt(id, Result.ERROR, 100_000);
         assertEquals(windowEndUs, node.latestAttempt(id).sendByUs());
-        long safe = node.submit(Node.SAFE);
+        long safe = node.submit(TestNode.SAFE);
         node.completeAttempt(safe, Result.ERROR, 100_000);
-        assertEquals(Actions.ANY_TIME, node.latestAttempt(safe).sendByUs());
+        assertEquals(Actions.NO_SEND_DEADLINE, node.latestAttempt(safe).sendByUs());
     }
 
     @Test
     void aTimeoutAtTheDeadlineEndsTheRequestAtOnce() {
-        Node node = new Node().withServers(3);
-        long safe = node.submit(Node.SAFE, 100_000);
-        long unsafe = node.submit(Node.UNSAFE, 100_000);
+        TestNode node = new TestNode().withServers(3);
+        long safe = node.submit(TestNode.SAFE, 100_000);
+        long unsafe = node.submit(TestNode.UNSAFE, 100_000);
         node.completeAttempt(safe, Result.TIMEOUT, 100_000);
         node.completeAttempt(unsafe, Result.TIMEOUT, 0);
         assertEquals(List.of(safe), node.refused);
@@ -135,31 +135,31 @@
 
     @Test
     void noAttemptMayRunPastTheClientsDeadline() {
-        Node node = new Node().withServers(3);
-        long id = node.submit(Node.SAFE, 123_000);
+        TestNode node = new TestNode().withServers(3);
+        long id = node.submit(TestNode.SAFE, 123_000);
         assertEquals(node.nowUs + 123_000, node.latestAttempt(id).untilUs());
     }
 
     @Test
     void aRequestOfADisconnectedClientGetsNoFurtherAttemptOrAnswer() {
-        Node node = new Node().withServers(1);
-        long id = node.submit(Node.SAFE);
-        node.balancer.onClientGone(node.nowUs, id);
+        TestNode node = new TestNode().withServers(1);
+        long id = node.submit(TestNode.SAFE);
+        node.balancer.onClientDisconnected(node.nowUs, id);
         node.completeAttempt(id, Result.ERROR, 1_000);
         node.advanceClock(2_000_000);
         assertEquals(1, node.attemptCount(id));
         assertTrue(node.refused.isEmpty() && node.failed.isEmpty());
-        node.balancer.onClientGone(node.nowUs, id);
+        node.balancer.onClientDisconnected(node.nowUs, id);
         node.balancer.onOutcome(node.nowUs, new Outcome(id, 0, Result.OK, 1, true, null));
     }
 
     @Test
     void nothingIsSentToADrainingOrRemovedServer() {
-        for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.GONE}) {
-            Node node = new Node().withServers(2);
+        for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.REMOVED}) {
+            TestNode node = new TestNode().withServers(2);
             node.updateServers(ListKind.CHANGES, List.of(server("s0", 0, 0, state)));
             for (int i = 0; i < 50; i++) {
-                assertEquals("s1", node.submitAndComplete(Node.UNSAFE,
+                assertEquals("s1", node.submitAndComplete(TestNode.UNSAFE,
                         i % 3 == 0 ? Result.ERROR : Result.OK, 1_000));
                 node.advanceClock(1_100_000);
             }
@@ -168,11 +168,11 @@
 
     @Test
     void removedServersAreForgotten() throws ReflectiveOperationException {
-        Node node = new Node().withServers(1);
+        TestNode node = new TestNode().withServers(1);
         for (int i = 0; i < 500; i++) {
-            node.updateServers(ListKind.CHANGES, List.of(Node.readyServer("t" + i)));
-            node.submitAndComplete(Node.UNSAFE, Result.ERROR, 1_000);
-            node.updateServers(ListKind.CHANGES, List.of(server("t" + i, 0, 0, ServerState.GONE)));
+            node.updateServers(ListKind.CHANGES, List.of(TestNode.readyServer("t" + i)));
+            node.submitAndComplete(TestNode.UNSAFE, Result.ERROR, 1_000);
+            node.updateServers(ListKind.CHANGES, List.of(server("t" + i, 0, 0, ServerState.REMOVED)));
         }
         var serversById = ServiceQBalancer.class.getDeclaredField("serversById");
         serversById.setAccessible(true);
@@ -181,37 +181,37 @@
 
     @Test
     void aServerMissingFromAFullListIsRemoved() {
-        Node node = new Node().withServers(2);
-        node.updateServers(ListKind.FULL, List.of(Node.readyServer("s1")));
+        TestNode node = new TestNode().withServers(2);
+        node.updateServers(ListKind.FULL, List.of(TestNode.readyServer("s1")));
         for (int i = 0; i < 20; i++) {
-            assertEquals("s1", node.submitAndComplete(Node.SAFE, Result.OK, 1_000));
+            assertEquals("s1", node.submitAndComplete(TestNode.SAFE, Result.OK, 1_000));
         }
     }
 
     @Test
     void aListOnRequestIsRequestedAtOnceAndAgainSoonAfterEachFailure() {
-        Settings settings = Node.settings();
+        Settings settings = TestNode.settings();
         settings.listOnRequest = true;
-        Node node = new Node(settings, 1).withServers(1);
+        TestNode node = new TestNode(settings, 1).withServers(1);
         assertEquals(1, node.subscriptions);
         for (int failures = 1; failures <= 6; failures++) {
             node.balancer.onListFailed(node.nowUs);
             assertEquals(failures, node.subscriptions);
-            node.advanceClock(settings.askWithinUs / 2);
+            node.advanceClock(settings.listRequestIntervalUs / 2);
             assertEquals(failures + 1, node.subscriptions);
         }
         node.updateServers(ListKind.CHANGES, List.of());
-        node.advanceClock(10 * settings.askWithinUs);
+        node.advanceClock(10 * settings.listRequestIntervalUs);
         assertEquals(7, node.subscriptions);
     }
 
     @Test
     void afterManyFailuresTheListIsStillRequestedAgainInTime() {
         for (int seed = 0; seed < 20; seed++) {
-            Settings settings = Node.settings();
+            Settings settings = TestNode.settings();
             settings.listOnRequest = true;
-            settings.askWithinUs = 40_000_000;
-            Node node = new Node(settings, seed).withServers(1);
+            settings.listRequestIntervalUs = 40_000_000;
+            TestNode node = new TestNode(settings, seed).withServers(1);
             for (int failures = 0; failures < 12; failures++) {
                 int requestsBefore = node.subscriptions;
                 node.balancer.onListFailed(node.nowUs);
@@ -225,24 +225,24 @@
 
     @Test
     void aListRequestThatIsNeverAnsweredIsRepeatedInsideTheAllowedTime() {
-        Settings settings = Node.settings();
+        Settings settings = TestNode.settings();
         settings.listOnRequest = true;
-        Node node = new Node(settings, 1).withServers(1);
-        node.advanceClock(settings.askWithinUs - 1);
+        TestNode node = new TestNode(settings, 1).withServers(1);
+        node.advanceClock(settings.listRequestIntervalUs - 1);
         assertTrue(node.subscriptions >= 2);
     }
 
     @Test
     void settingsAndRequestsOutOfRangeAreRejected() {
         Settings empty = new Settings();
-        assertThrows(IllegalArgumentException.class, () -> new Node(empty, 1));
-        Settings negativeTime = Node.settings();
-        negativeTime.coldUs = -1;
-        assertThrows(IllegalArgumentException.class, () -> new Node(negativeTime, 1));
-        Settings unknownZone = Node.settings();
+        assertThrows(IllegalArgumentException.class, () -> new TestNode(empty, 1));
+        Settings negativeTime = TestNode.settings();
+        negativeTime.slowStartUs = -1;
+        assertThrows(IllegalArgumentException.class, () -> new TestNode(negativeTime, 1));
+        Settings unknownZone = TestNode.settings();
         unknownZone.myZone = 9;
-        assertThrows(IllegalArgumentException.class, () -> new Node(unknownZone, 1));
-        Node node = new Node().withServers(1);
+        assertThrows(IllegalArgumentException.class, () -> new TestNode(unknownZone, 1));
+        TestNode node = new TestNode().withServers(1);
         assertThrows(IllegalArgumentException.class, () -> node.submit(99));
         assertThrows(IllegalArgumentException.class,
                 () -> node.balancer.onRequest(node.nowUs, new Request(5, 0, 7, 1_000, 0, false)));
--- a/src/test/java/cedarrelay/SettingsTest.java
+++ b/src/test/java/cedarrelay/SettingsTest.java
@@ -23,15 +23,15 @@
                 "classes", changed -> changed.classes.clear(),
                 "myZone", changed -> changed.myZone = 7,
                 "tickUs", changed -> changed.tickUs = -1,
-                "askWithinUs", changed -> changed.askWithinUs = -1,
-                "coldFrom", changed -> changed.coldFrom = 0,
-                "fallMultiple", changed -> changed.fallMultiple = 0,
+                "askWithinUs", changed -> changed.listRequestIntervalUs = -1,
+                "coldFrom", changed -> changed.slowStartMinShare = 0,
+                "overloadFactor", changed -> changed.overloadFactor = 0,
                 "probePrice", changed -> changed.probePrice = -1);
         invalidChanges.forEach((field, change) -> {
-            Settings settings = Node.settings();
+            Settings settings = TestNode.settings();
             change.accept(settings);
             IllegalArgumentException thrown = assertThrows(IllegalArgumentException.class,
-                    () -> new Node(settings, 1));
+                    () -> new TestNode(settings, 1));
             assertTrue(thrown.getMessage().startsWith(field), thrown.getMessage());
         });
     }
@@ -42,8 +42,8 @@
         settings.nodes = 12;
         settings.zones = List.of("hall");
         settings.classes.add(new Balancer.RequestClass("view", 200_000, 0, 1_000_000, 1, 0,
-                Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
-        Node actions = new Node();
+                Balancer.RetrySafety.SAFE, Balancer.DeduplicationScope.ALL, 0, false));
+        TestNode actions = new TestNode();
         Balancer balancer = new ServiceQBalancer(settings, 42, actions);
         balancer.onServers(1_000, Balancer.ListKind.CACHED, List.of(
                 new Balancer.ServerEntry("10.0.0.1:80", 0, 0, Balancer.ServerState.READY, 1, 0)));
--- a/src/test/java/cedarrelay/ColdServerTest.java
+++ b/src/test/java/cedarrelay/SlowStartTest.java
@@ -14,7 +14,7 @@
 import cedarrelay.Balancer.ServerState;
 
 /** Tests slow start: how much a node sends to a server that has just started. */
-class ColdServerTest {
+class SlowStartTest {
 
     private static ServerEntry serverStartedAt(String id, long startedAtUs) {
         return new ServerEntry(id, 0, 0, ServerState.READY, 1, startedAtUs);
@@ -22,9 +22,9 @@
 
     @Test
     void aServerInSlowStartGetsNoMoreThanItsBudgetHoweverOftenClientsRetry() {
-        Node node = new Node().withServers(4);
+        TestNode node = new TestNode().withServers(4);
         for (int i = 0; i < 400; i++) {
-            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
         }
         node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
         // The servers complete 100 requests a second: each of five would get 20, and a server in slow start
@@ -32,7 +32,7 @@
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                burst.add(node.submit(Node.SAFE));
+                burst.add(node.submit(TestNode.SAFE));
             }
             node.advanceClock(10_000);
             // Only one of ten is completed: ten times as many requests arrive as the servers complete.
@@ -50,15 +50,15 @@
      * servers of weight {@code otherWeight}.
      */
     private static long sentToNewServerAmong(double otherWeight) {
-        Node node = new Node().withServers(4);
+        TestNode node = new TestNode().withServers(4);
         node.updateServers(ListKind.CHANGES, List.of("s0", "s1", "s2", "s3").stream()
                 .map(id -> new ServerEntry(id, 0, 0, ServerState.READY, otherWeight, 0)).toList());
         for (int i = 0; i < 400; i++) {
-            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
         }
         node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
         for (int i = 0; i < 200; i++) {
-            node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+            node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
         }
         return node.attemptsTo("new");
     }
@@ -68,18 +68,18 @@
         // The list lowers weights with load: those of busy servers to a tenth, that of the idle one not.
         long sentAmongBusyServers = sentToNewServerAmong(0.1);
         // A fifth of 100 requests a second, a fifth of which it can serve at first, for two seconds, times
-        // fallMultiple (three): 24 and, as it warms up, a little more would overload it.
+        // overloadFactor (three): 24 and, as it warms up, a little more would overload it.
         assertTrue(sentAmongBusyServers >= 10 && sentAmongBusyServers <= 24,
                 "requests sent to the new server in two seconds: " + sentAmongBusyServers);
     }
 
     @Test
     void aNodeThatHasJustStartedDoesNotFloodAServerInSlowStart() {
-        Node node = new Node();
+        TestNode node = new TestNode();
         node.updateServers(ListKind.CACHED, List.of(serverStartedAt("new", node.nowUs - 100_000),
-                Node.readyServer("warm")));
+                TestNode.readyServer("warm")));
         for (int i = 0; i < 200; i++) {
-            node.submit(Node.SAFE);
+            node.submit(TestNode.SAFE);
             node.advanceClock(1_000);
         }
         long sentToNewServer = node.attemptsTo("new");
@@ -91,15 +91,15 @@
         // Guards against counting the gap before the first response from the zero of the clock.
         List<Long> sentToNewServer = new ArrayList<>();
         for (long startUs : new long[] {1_000_000, 900_000_000_000L}) {
-            Node node = new Node();
+            TestNode node = new TestNode();
             node.nowUs = startUs;
             node.withServers(3);
             for (int i = 0; i < 100; i++) {
-                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+                node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
             }
             node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
             for (int i = 0; i < 300; i++) {
-                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+                node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
             }
             sentToNewServer.add(node.attemptsTo("new"));
         }
@@ -112,19 +112,19 @@
     void duringSlowStartAServersConcurrencyLimitDoesNotGrowPastThoseOfOthers() {
         // Guards against a server that is overloaded once it is warm: during slow start it gets single
         // requests and is fast with them, which raised its concurrency limit too far.
-        Balancer.Settings settings = Node.settings();
+        Balancer.Settings settings = TestNode.settings();
         settings.nodes = 8;
-        Node node = new Node(settings, 5);
+        TestNode node = new TestNode(settings, 5);
         node.updateServers(ListKind.CACHED, List.of(serverStartedAt("new", node.nowUs),
-                Node.readyServer("warm")));
-        long warmAtUs = node.nowUs + settings.coldUs;
+                TestNode.readyServer("warm")));
+        long warmAtUs = node.nowUs + settings.slowStartUs;
         int completed = 0;
         while (node.nowUs < warmAtUs) {
             for (int i = 0; i < 3; i++) {
-                node.submit(Node.SAFE);
+                node.submit(TestNode.SAFE);
             }
             for (; completed < node.sent.size(); completed++) {
-                Node.SentAttempt attempt = node.sent.get(completed);
+                TestNode.SentAttempt attempt = node.sent.get(completed);
                 node.completeAttempt(attempt.requestId(), Result.OK,
                         attempt.serverId().equals("new") ? 10_000 : 150_000);
             }
@@ -133,7 +133,7 @@
         node.advanceClock(3_000_000);
         long sentBefore = node.attemptsTo("new");
         for (int i = 0; i < 20; i++) {
-            node.submit(Node.SAFE);
+            node.submit(TestNode.SAFE);
         }
         long sentAtOnce = node.attemptsTo("new") - sentBefore;
         assertTrue(sentAtOnce <= 1, "requests sent at once to the server that is now warm: " + sentAtOnce);
@@ -143,27 +143,27 @@
     void manyNodesNotifiedOfANewServerAtOnceDoNotTogetherOverloadIt() {
         // Guards against nodes that all send their first request to a new server as soon as it is picked:
         // together these first requests overloaded it.
-        Balancer.Settings settings = Node.settings();
+        Balancer.Settings settings = TestNode.settings();
         settings.nodes = 100;
-        settings.coldFrom = 0.2;
-        settings.coldUs = 20_000_000;
+        settings.slowStartMinShare = 0.2;
+        settings.slowStartUs = 20_000_000;
         int sentToNewServer = 0;
         for (int seed = 0; seed < settings.nodes; seed++) {
-            Node node = new Node(settings, seed);
+            TestNode node = new TestNode(settings, seed);
             node.withServers(10);
             // Each node gets two requests a second, so that each of ten servers gets twenty from all nodes.
             for (int i = 0; i < 20; i++) {
-                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+                node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
                 node.advanceClock(490_000);
             }
             node.updateServers(ListKind.CHANGES, List.of(serverStartedAt("new", node.nowUs)));
             for (int i = 0; i < 4; i++) {
-                node.submitAndComplete(Node.SAFE, Result.OK, 10_000);
+                node.submitAndComplete(TestNode.SAFE, Result.OK, 10_000);
                 node.advanceClock(490_000);
             }
             sentToNewServer += (int) node.attemptsTo("new");
         }
-        // A fifth of 200/11 requests a second, for two seconds, times fallMultiple (three): 22 at most.
+        // A fifth of 200/11 requests a second, for two seconds, times overloadFactor (three): 22 at most.
         assertTrue(sentToNewServer >= 1 && sentToNewServer <= 22,
                 "requests sent by all nodes in two seconds: " + sentToNewServer);
     }
--- a/src/test/java/cedarrelay/Node.java
+++ b/src/test/java/cedarrelay/TestNode.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 import cedarrelay.Balancer.Actions;
-import cedarrelay.Balancer.Group;
+import cedarrelay.Balancer.DeduplicationScope;
 import cedarrelay.Balancer.ListKind;
 import cedarrelay.Balancer.Outcome;
-import cedarrelay.Balancer.Repeat;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.Request;
 import cedarrelay.Balancer.RequestClass;
 import cedarrelay.Balancer.Result;
@@ -20,7 +20,7 @@
  * A proxy node for tests of the decision module: a {@link Balancer} with a manual clock, whose actions are
  * recorded instead of carried out.
  */
-final class Node implements Actions {
+final class TestNode implements Actions {
     // Indexes of the request classes in settings().
     static final int SAFE = 0;
     static final int KEYED_ALL = 1;
@@ -36,7 +36,8 @@
      * @param attempt its number, from 0
      * @param serverId the server
      * @param untilUs when it is to be abandoned
-     * @param sendByUs by when it must be written completely; {@link Actions#ANY_TIME} means at any time
+     * @param sendByUs by when it must be written completely; {@link Actions#NO_SEND_DEADLINE} means at any
+     *     time
      */
     record SentAttempt(long sentAtUs, long requestId, int attempt, String serverId, long untilUs,
             long sendByUs) { }
@@ -61,12 +62,12 @@
     private long nextRequestId = 1;
     Balancer balancer;
 
-    Node(Settings settings, long seed) {
+    TestNode(Settings settings, long seed) {
         this.settings = settings;
         balancer = new ServiceQBalancer(settings, seed, this);
     }
 
-    Node() {
+    TestNode() {
         this(settings(), 7);
     }
 
@@ -78,21 +79,21 @@
         Settings settings = new Settings();
         settings.zones.add("here");
         settings.zones.add("there");
-        settings.classes.add(requestClass("safe", Repeat.SAFE, Group.ALL));
-        settings.classes.add(requestClass("keyed-all", Repeat.KEYED, Group.ALL));
-        settings.classes.add(requestClass("keyed-zone", Repeat.KEYED, Group.ZONE));
-        settings.classes.add(requestClass("keyed-cell", Repeat.KEYED, Group.CELL));
-        settings.classes.add(requestClass("unsafe", Repeat.UNSAFE, Group.ALL));
+        settings.classes.add(requestClass("safe", RetrySafety.SAFE, DeduplicationScope.ALL));
+        settings.classes.add(requestClass("keyed-all", RetrySafety.KEYED, DeduplicationScope.ALL));
+        settings.classes.add(requestClass("keyed-zone", RetrySafety.KEYED, DeduplicationScope.ZONE));
+        settings.classes.add(requestClass("keyed-cell", RetrySafety.KEYED, DeduplicationScope.CELL));
+        settings.classes.add(requestClass("unsafe", RetrySafety.UNSAFE, DeduplicationScope.ALL));
         settings.tenants.add(new Tenant("tenant", 0));
         settings.maxAttempts = 4;
-        settings.secondCopies = true;
-        settings.cancel = true;
+        settings.allowParallelAttempts = true;
+        settings.allowCancel = true;
         return settings;
     }
 
     /** A class with a latency target of 200 ms, a deadline of 1 s and a retry window of 400 ms. */
-    static RequestClass requestClass(String name, Repeat repeat, Group group) {
-        return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, repeat, group, 400_000, false);
+    static RequestClass requestClass(String name, RetrySafety retrySafety, DeduplicationScope scope) {
+        return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, retrySafety, scope, 400_000, false);
     }
 
     /**
@@ -101,9 +102,10 @@
      */
     static Settings settingsWithLateUtility() {
         Settings settings = settings();
-        settings.classes.replaceAll(original -> new RequestClass(original.name(), original.aimUs(), 0,
-                original.deadlineUs(), original.worth(), 0.5, original.repeat(), original.group(),
-                original.windowUs(), original.stream()));
+        settings.classes.replaceAll(original -> new RequestClass(original.name(),
+                original.latencyTargetUs(), 0, original.deadlineUs(), original.utility(), 0.5,
+                original.retrySafety(), original.deduplicationScope(),
+                original.deduplicationWindowUs(), original.streamed()));
         return settings;
     }
 
@@ -113,7 +115,7 @@
     }
 
     /** Delivers the first list, of {@code count} warm servers s0, s1, ... in one zone and cell. */
-    Node withServers(int count) {
+    TestNode withServers(int count) {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(readyServer("s" + i));
@@ -122,7 +124,7 @@
     }
 
     /** Delivers a server list or changes of it. */
-    Node updateServers(ListKind kind, List<ServerEntry> entries) {
+    TestNode updateServers(ListKind kind, List<ServerEntry> entries) {
         balancer.onServers(nowUs, kind, entries);
         return this;
     }
@@ -132,15 +134,15 @@
         return submit(classIndex, 1_000_000);
     }
 
-    /** Submits a request whose client waits for {@code leftUs}; returns its id. */
-    long submit(int classIndex, long leftUs) {
-        return submit(classIndex, 0, leftUs);
+    /** Submits a request whose client waits for {@code remainingUs}; returns its id. */
+    long submit(int classIndex, long remainingUs) {
+        return submit(classIndex, 0, remainingUs);
     }
 
     /** Submits a request of a tenant, given by its index; returns its id. */
-    long submit(int classIndex, int tenant, long leftUs) {
+    long submit(int classIndex, int tenantIndex, long remainingUs) {
         long id = nextRequestId++;
-        balancer.onRequest(nowUs, new Request(id, classIndex, tenant, leftUs, 0, false));
+        balancer.onRequest(nowUs, new Request(id, classIndex, tenantIndex, remainingUs, 0, false));
         return id;
     }
 
--- a/src/test/java/cedarrelay/node/ServerPoolTest.java
+++ b/src/test/java/cedarrelay/node/ServerPoolTest.java
@@ -140,8 +140,10 @@
         assertEquals(Result.ERROR, outcome(FakePeer.answer("500 No", "", "")).result());
         assertEquals(Result.ERROR, outcome(FakePeer.answer("503 No", "", "")).result());
         assertEquals(Result.ERROR, outcome(FakePeer.answer("500 No", "X-Turned-Away: 1\r\n", "")).result());
-        assertEquals(Result.FULL, outcome(FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "")).result());
-        assertEquals(Result.FULL, outcome(FakePeer.answer("504 No", "X-Turned-Away: 1\r\n", "")).result());
+        assertEquals(Result.REJECTED,
+                outcome(FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "")).result());
+        assertEquals(Result.REJECTED,
+                outcome(FakePeer.answer("504 No", "X-Turned-Away: 1\r\n", "")).result());
     }
 
     @Test
@@ -261,7 +263,7 @@
                 pool.start("s", caller);
                 pool.update(list);
             }).get();
-            assertEquals(Result.MOOT, caller.report().result());
+            assertEquals(Result.NOT_SENT, caller.report().result());
             applyList(pool, server.address(), 0);
             RecordingCaller next = new RecordingCaller(11);
             start(pool, next);
@@ -285,7 +287,7 @@
             pool.start("s", unwanted);
             return pool.start("s", next);
         }).get();
-        assertEquals(Result.MOOT, unwanted.report().result());
+        assertEquals(Result.NOT_SENT, unwanted.report().result());
         assertEquals(Result.OK, next.report().result());
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
         assertTrue(server.requests.isEmpty());
@@ -431,7 +433,7 @@
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
         RecordingCaller caller = new RecordingCaller(10);
         loop.submit(() -> pool.start("s", caller).giveUp(Result.CANCELLED)).get();
-        assertEquals(Result.MOOT, caller.report().result());
+        assertEquals(Result.NOT_SENT, caller.report().result());
         // Once established, its connection carries the next attempt: the only request that the server
         // receives.
         FakePeer.soon(server.accepted);
