--- a/src/main/java/cedarrelay/benchlink/BootInfo.java
+++ b/src/main/java/cedarrelay/benchlink/BootInfo.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 import cedarrelay.Balancer.DeduplicationScope;
-import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.ReportField;
 import cedarrelay.Balancer.RequestClass;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.Settings;
 import cedarrelay.Balancer.Tenant;
 
--- a/src/main/java/cedarrelay/node/ClientConnection.java
+++ b/src/main/java/cedarrelay/node/ClientConnection.java
@@ -109,7 +109,7 @@
         this.listener = listener;
         this.channel = channel;
         connectedNs = openedNs - loopLagNs();
-        openedTick = listener.stall().beats();
+        openedTick = listener.stall().tickCount();
     }
 
     /** Adds the handlers of a new client connection to its pipeline. */
@@ -199,10 +199,10 @@
         listener.closed(this);
         for (PipelinedRequest next : pipelined) {
             next.http.release();
-            listener.inHand().remove(next.costBytes);
+            listener.inHand().release(next.costBytes);
         }
         pipelined.clear();
-        listener.inHand().remove(partialCostBytes + pendingCostBytes);
+        listener.inHand().release(partialCostBytes + pendingCostBytes);
         partialCostBytes = 0;
         pendingCostBytes = 0;
         if (pending != null) {
@@ -219,26 +219,27 @@
      */
     private long arrivedNs() {
         long arrivedNs = System.nanoTime() - loopLagNs();
-        return !requestReceived && listener.stall().beats() - openedTick <= 1
+        return !requestReceived && listener.stall().tickCount() - openedTick <= 1
                 ? Math.min(arrivedNs, connectedNs) : arrivedNs;
     }
 
     private long loopLagNs() {
-        return TimeUnit.MICROSECONDS.toNanos(listener.stall().us());
+        return TimeUnit.MICROSECONDS.toNanos(listener.stall().lagUs());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         long arrivedNs = arrivedNs();
-        listener.inHand().remove(partialCostBytes);
+        listener.inHand().release(partialCostBytes);
         partialCostBytes = 0;
         if (discardingInput || !(message instanceof FullHttpRequest http)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        long costBytes = InHand.costOf(http.decoderResult() instanceof HttpMessageDecoderResult decoded
+        long costBytes = RequestMemoryBudget.estimateBytes(
+                http.decoderResult() instanceof HttpMessageDecoderResult decoded
                 ? decoded.totalSize() : 0, http.content().readableBytes());
-        if (!listener.inHand().add(costBytes)) {
+        if (!listener.inHand().tryReserve(costBytes)) {
             http.release();
             reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too much at once"));
             return;
@@ -360,7 +361,7 @@
     void answer(FullHttpResponse response, boolean keepAlive) {
         clientErrors = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? clientErrors + 1 : 0;
         pending = null;
-        listener.inHand().remove(pendingCostBytes);
+        listener.inHand().release(pendingCostBytes);
         pendingCostBytes = 0;
         boolean lastRequest = pipelined.isEmpty();
         boolean keepOpen = keepAlive && !closingAfterResponse && clientErrors < MAX_CLIENT_ERRORS
@@ -443,7 +444,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             int addedBytes = message instanceof HttpContent content ? content.content().readableBytes() : 0;
-            if (discardingInput || !listener.inHand().add(addedBytes)) {
+            if (discardingInput || !listener.inHand().tryReserve(addedBytes)) {
                 ReferenceCountUtil.release(message);
                 reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too much at once"));
                 return;
--- a/src/main/java/cedarrelay/node/ClientRequest.java
+++ b/src/main/java/cedarrelay/node/ClientRequest.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.RequestClass;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.Settings;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cedarrelay/node/ClientServer.java
+++ b/src/main/java/cedarrelay/node/ClientServer.java
@@ -51,11 +51,11 @@
 
     private final EventLoop loop;
     private final Sockets sockets;
-    private final Stall stall;
+    private final EventLoopLag stall;
     private final ClientRequest.Reader reader;
     private final Consumer<Exchange> exchangeHandler;
     private final Metrics metrics;
-    private final InHand inHand = InHand.partOfHeap();
+    private final RequestMemoryBudget inHand = RequestMemoryBudget.fractionOfHeap();
     /** Open connections that have sent a complete request, ordered by when the latest was read. */
     private final Set<ClientConnection> usedConnections = new LinkedHashSet<>();
     /** Open connections that have not sent a complete request yet, oldest first. */
@@ -72,7 +72,7 @@
      *
      * @param exchangeHandler receives each request that has been read and accepted for forwarding
      */
-    ClientServer(EventLoop loop, Sockets sockets, Stall stall, ClientRequest.Reader reader,
+    ClientServer(EventLoop loop, Sockets sockets, EventLoopLag stall, ClientRequest.Reader reader,
             Consumer<Exchange> exchangeHandler, Metrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
@@ -174,12 +174,12 @@
     }
 
     /** The memory that requests take, over all connections. */
-    InHand inHand() {
+    RequestMemoryBudget inHand() {
         return inHand;
     }
 
     /** The lag of the event loop. */
-    Stall stall() {
+    EventLoopLag stall() {
         return stall;
     }
 
@@ -200,7 +200,7 @@
 
     /** Whether the request belongs to the warm-up, by its token. */
     boolean isRehearsal(FullHttpRequest http) {
-        return warmUpToken != null && warmUpToken.equals(http.headers().get(Rehearsal.HEADER));
+        return warmUpToken != null && warmUpToken.equals(http.headers().get(WarmUp.TOKEN_HEADER));
     }
 
     /** The node's metrics, as the body of a response to {@code /metrics}. */
@@ -215,7 +215,7 @@
 
     /** Records that the node closed a connection with a request that was read and not answered. */
     void closedUnanswered(SocketAddress client) {
-        metrics.violated(Counter.VIOLATIONS_CLOSE_UNANSWERED, "client " + client);
+        metrics.recordViolation(Counter.VIOLATIONS_CLOSE_UNANSWERED, "client " + client);
     }
 
     /** Parses and checks a request; throws the error to be sent if it can't be forwarded. */
--- a/src/main/java/cedarrelay/node/Stall.java
+++ b/src/main/java/cedarrelay/node/EventLoopLag.java
@@ -10,7 +10,7 @@
  * the kernel's buffers for that long; this time must not be taken for a server's latency. Causes are
  * unoptimized code just after a start, a processor busy with other processes, and garbage collection.
  */
-final class Stall {
+final class EventLoopLag {
     /** Far below any latency target; a tick costs a few microseconds. */
     private static final long TICK_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(10);
 
@@ -18,14 +18,14 @@
     /** When the latest tick that has run was due, by {@link System#nanoTime}. */
     private long lastDueNs;
     private ScheduledFuture<?> nextTick;
-    private int beats;
+    private int tickCount;
 
-    Stall(EventLoop loop) {
+    EventLoopLag(EventLoop loop) {
         this.loop = loop;
     }
 
     /** Starts the ticks. */
-    void watch() {
+    void start() {
         lastDueNs = System.nanoTime();
         schedule();
     }
@@ -38,8 +38,8 @@
     }
 
     /** Number of ticks so far. A lagging loop runs one per iteration, however long the iteration takes. */
-    int beats() {
-        return beats;
+    int tickCount() {
+        return tickCount;
     }
 
     /**
@@ -47,7 +47,7 @@
      * Counted from when the last tick was due, not from when it ran: data that arrives during a long
      * iteration of the loop is read in the next one, after the tick at the end of the long one.
      */
-    long us() {
+    long lagUs() {
         return nextTick == null ? 0
                 : TimeUnit.NANOSECONDS.toMicros(
                         Math.max(0, System.nanoTime() - lastDueNs - TICK_INTERVAL_NS));
@@ -57,7 +57,7 @@
         long nextDueNs = System.nanoTime() + TICK_INTERVAL_NS;
         nextTick = loop.schedule(() -> {
             lastDueNs = nextDueNs;
-            beats++;
+            tickCount++;
             schedule();
         }, TICK_INTERVAL_NS, TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/cedarrelay/node/Main.java
+++ b/src/main/java/cedarrelay/node/Main.java
@@ -114,7 +114,7 @@
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
         try {
-            stopped.await(node.stopsWithinMs(), TimeUnit.MILLISECONDS);
+            stopped.await(node.maxStopMs(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cedarrelay/node/MembershipGate.java
+++ b/src/main/java/cedarrelay/node/MembershipGate.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 
 import cedarrelay.node.Metrics.Counter;
-import cedarrelay.node.Metrics.Peak;
+import cedarrelay.node.Metrics.Maximum;
 import io.netty.channel.EventLoop;
 
 /**
@@ -44,7 +44,7 @@
     private int holdCount;
 
     /**
-     * Creates a gate that lets all sends pass until {@link #watch} is called.
+     * Creates a gate that lets all sends pass until {@link #setSource} is called.
      *
      * @param pushed whether a change counts as notified as soon as discovery's agent has it
      * @param graceUs how long a server may still be sent requests after its drain was notified, in
@@ -64,14 +64,14 @@
     }
 
     /** Sets where the server list comes from, and starts to hold back sends. */
-    void watch(Discovery source) {
+    void setSource(Discovery source) {
         discovery = source;
     }
 
     /** Reads received list changes, unless that was done just now. Called before each decision and send. */
     void refresh() {
         if (discovery != null && System.nanoTime() - confirmedNs > FRESH_NS && discovery.catchUp()) {
-            proven();
+            confirmCurrent();
         }
     }
 
@@ -88,20 +88,20 @@
             hold();
             return false;
         }
-        metrics.observe(Peak.LIST_AGE_AT_SEND_MS, TimeUnit.NANOSECONDS.toMillis(ageNs));
+        metrics.updateMax(Maximum.LIST_AGE_AT_SEND_MS, TimeUnit.NANOSECONDS.toMillis(ageNs));
         if (ageNs > graceNs) {
-            metrics.count(Counter.VIOLATIONS_STALE_LIST);
+            metrics.increment(Counter.VIOLATIONS_STALE_LIST);
         }
         return true;
     }
 
     /** Records that the list is confirmed current as of now. */
-    void proven() {
-        proven(System.nanoTime());
+    void confirmCurrent() {
+        confirmCurrent(System.nanoTime());
     }
 
     /** Records that the list was confirmed current at this {@link System#nanoTime}. */
-    void proven(long asOfNs) {
+    void confirmCurrent(long asOfNs) {
         if (asOfNs - confirmedNs > 0) {
             confirmedNs = asOfNs;
             releaseIfCurrent();
@@ -109,18 +109,18 @@
     }
 
     /** Records that a list was read which is applied only after the current call of the decision module. */
-    void listPending() {
+    void onListReceived() {
         pendingLists++;
     }
 
     /** Records that a pending list is being applied. */
-    void listTaken() {
+    void onListApplied() {
         pendingLists--;
         releaseIfCurrent();
     }
 
     private void hold() {
-        metrics.count(Counter.SENDS_HELD);
+        metrics.increment(Counter.SENDS_HELD);
         if (!holding) {
             holding = true;
             holdCount++;
--- a/src/main/java/cedarrelay/node/Metrics.java
+++ b/src/main/java/cedarrelay/node/Metrics.java
@@ -39,7 +39,7 @@
     }
 
     /** A maximum since the start, in milliseconds, exposed in lower case with the prefix {@code max_}. */
-    enum Peak {
+    enum Maximum {
         LOOP_LAG_MS("Longest lag of the event loop."),
         LIST_AGE_AT_SEND_MS("Longest time since the server list was known to be current, at a send."),
         SEND_DELAY_MS("Longest time from the decision to send to the first byte written."),
@@ -47,7 +47,7 @@
 
         private final String help;
 
-        Peak(String help) {
+        Maximum(String help) {
             this.help = help;
         }
     }
@@ -57,16 +57,16 @@
     private static final Logger LOG = System.getLogger(Metrics.class.getName());
 
     private final long[] counts = new long[Counter.values().length];
-    private final long[] peaks = new long[Peak.values().length];
+    private final long[] maxima = new long[Maximum.values().length];
 
     /** Increments a counter. */
-    void count(Counter counter) {
+    void increment(Counter counter) {
         counts[counter.ordinal()]++;
     }
 
     /** Counts a violated invariant and logs it. */
-    void violated(Counter invariant, String subject) {
-        count(invariant);
+    void recordViolation(Counter invariant, String subject) {
+        increment(invariant);
         LOG.log(Level.ERROR, "invariant violated, {0}: {1}", invariant, subject);
     }
 
@@ -75,16 +75,16 @@
     }
 
     /** Updates a maximum; returns whether the value is a new one. */
-    boolean observe(Peak peak, long value) {
-        if (value <= peaks[peak.ordinal()]) {
+    boolean updateMax(Maximum maximum, long value) {
+        if (value <= maxima[maximum.ordinal()]) {
             return false;
         }
-        peaks[peak.ordinal()] = value;
+        maxima[maximum.ordinal()] = value;
         return true;
     }
 
-    long value(Peak peak) {
-        return peaks[peak.ordinal()];
+    long value(Maximum maximum) {
+        return maxima[maximum.ordinal()];
     }
 
     /** All counters that are not 0 and all maximum values, in one line for the log. */
@@ -95,8 +95,8 @@
                 line.add(counter.name().toLowerCase(Locale.ROOT) + "=" + value(counter));
             }
         }
-        for (Peak peak : Peak.values()) {
-            line.add("max_" + peak.name().toLowerCase(Locale.ROOT) + "=" + value(peak));
+        for (Maximum maximum : Maximum.values()) {
+            line.add("max_" + maximum.name().toLowerCase(Locale.ROOT) + "=" + value(maximum));
         }
         return line.toString();
     }
@@ -107,8 +107,8 @@
         for (Counter counter : Counter.values()) {
             append(text, counter.name() + "_total", "counter", counter.help, value(counter));
         }
-        for (Peak peak : Peak.values()) {
-            append(text, "MAX_" + peak.name(), "gauge", peak.help, value(peak));
+        for (Maximum maximum : Maximum.values()) {
+            append(text, "MAX_" + maximum.name(), "gauge", maximum.help, value(maximum));
         }
         return text.toString();
     }
--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -28,7 +28,7 @@
 import cedarrelay.Balancer.ServerState;
 import cedarrelay.ServiceQBalancer;
 import cedarrelay.node.Metrics.Counter;
-import cedarrelay.node.Metrics.Peak;
+import cedarrelay.node.Metrics.Maximum;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelPipeline;
 import io.netty.channel.EventLoop;
@@ -82,7 +82,7 @@
     private final MembershipGate gate;
     private final Discovery discovery;
     private final ClientServer clientServer;
-    private final Stall loopLag;
+    private final EventLoopLag loopLag;
     private final Metrics metrics = new Metrics();
     private final long startedNs = System.nanoTime();
     private final long clockOriginNs = System.nanoTime();
@@ -199,8 +199,8 @@
         @Override
         public FullHttpRequest message() {
             // The request may have waited for a connection; event-loop lag until now isn't server latency.
-            lagUs = Math.min(loopLag.us(), nowUs() - decidedUs);
-            metrics.count(Counter.ATTEMPTS_WRITTEN);
+            lagUs = Math.min(loopLag.lagUs(), nowUs() - decidedUs);
+            metrics.increment(Counter.ATTEMPTS_WRITTEN);
             recordSendDelay(this);
             checkInvariants();
             return request.exchange.request().forServer(timeoutAtUs - nowUs());
@@ -213,18 +213,18 @@
             }
             String attemptName = "request " + hex(request.id) + " attempt " + number + " to " + serverId;
             if (!listInUse) {
-                metrics.violated(Counter.VIOLATIONS_SEND_BEFORE_LIST, attemptName);
+                metrics.recordViolation(Counter.VIOLATIONS_SEND_BEFORE_LIST, attemptName);
             }
             if (!pool.admits(serverId)) {
-                metrics.violated(Counter.VIOLATIONS_SEND_TO_DRAINING, attemptName);
+                metrics.recordViolation(Counter.VIOLATIONS_SEND_TO_DRAINING, attemptName);
             }
             long now = nowUs();
             if (request.finished || now - timeoutAtUs > PAUSE_TOLERANCE_US
                     || now - sendByUs > PAUSE_TOLERANCE_US) {
-                metrics.violated(Counter.VIOLATIONS_SEND_PAST_END, attemptName);
+                metrics.recordViolation(Counter.VIOLATIONS_SEND_PAST_END, attemptName);
             }
             if (couldRunTwice()) {
-                metrics.violated(Counter.VIOLATIONS_REPEAT, attemptName);
+                metrics.recordViolation(Counter.VIOLATIONS_REPEAT, attemptName);
             }
         }
 
@@ -256,11 +256,11 @@
             request.removeIfDone();
             long tookUs = nowUs() - decidedUs;
             if (result == Result.NOT_SENT) {
-                metrics.count(Counter.ATTEMPTS_NOT_SENT);
+                metrics.increment(Counter.ATTEMPTS_NOT_SENT);
             }
             LOG.log(Level.DEBUG, () -> "request " + hex(request.id) + " attempt " + number + " at " + serverId
                     + " ended with " + result + " after " + tookUs / 1_000 + " ms");
-            lagUs = Math.min(lagUs + loopLag.us(), tookUs);
+            lagUs = Math.min(lagUs + loopLag.lagUs(), tookUs);
             callBalancer(request, () -> balancer.onOutcome(nowUs(),
                     new Outcome(request.id, number, result, tookUs, request.finished, null, lagUs)));
         }
@@ -276,10 +276,10 @@
         this.loop = loop;
         config.settings().zones.forEach(z -> zoneIndexes.put(z, zoneIndexes.size()));
         balancer = new ServiceQBalancer(config.settings(), config.seed(), this);
-        loopLag = new Stall(loop);
+        loopLag = new EventLoopLag(loop);
         sockets = new Sockets(config.sockets());
         gate = new MembershipGate(loop, metrics, !config.settings().listOnRequest,
-                config.settings().drainGraceUs, loopLag::us, this::resume);
+                config.settings().drainGraceUs, loopLag::lagUs, this::resume);
         pool = new ServerPool(loop, sockets, config.settings().connectTimeoutUs, config.connIdleUs(),
                 ServerPool.REST_US, gate::mayWrite);
         clientServer = new ClientServer(loop, sockets, loopLag, new ClientRequest.Reader(config.settings()),
@@ -301,7 +301,7 @@
      */
     ChannelFuture start(EventLoopGroup group, int warmUpRequests, long listWaitMs, Runnable whenReady) {
         // Before clients can connect: event-loop lag during the start also counts as their waiting time.
-        loopLag.watch();
+        loopLag.start();
         discovery.subscribe();
         loop.schedule(() -> {
             // If the event loop lags, discovery's response may not have been read yet.
@@ -320,7 +320,7 @@
                         Long.toString(config.known().revision()), config.known().targets().size());
                 String token = Long.toHexString(new SplittableRandom(config.seed()).nextLong());
                 clientServer.setRehearsal(token);
-                new Rehearsal(loop, config, (InetSocketAddress) binding.channel().localAddress(), token,
+                new WarmUp(loop, config, (InetSocketAddress) binding.channel().localAddress(), token,
                         warmUpRequests, MAX_WARM_UP_MS, () -> {
                             warmUpDone = true;
                             reportIfReady();
@@ -337,7 +337,7 @@
      */
     private void useFirstList(ListKind kind, ServerList list) {
         if (!listInUse) {
-            gate.watch(discovery);
+            gate.setSource(discovery);
             applyList(kind, list);
             listInUse = true;
             reportIfReady();
@@ -359,13 +359,13 @@
     }
 
     /** Starts as a warm-up node: uses the configured list, has no listening address and no subscription. */
-    void rehearse() {
+    void startAsWarmUpNode() {
         isWarmUpNode = true;
         applyList(ListKind.CACHED, config.known());
     }
 
     /** Sets up a client connection without a socket, for the warm-up. */
-    void openRehearsal(ChannelPipeline pipeline) {
+    void openSocketlessClient(ChannelPipeline pipeline) {
         ClientConnection.open(clientServer, pipeline);
     }
 
@@ -384,7 +384,7 @@
      * The maximum duration of {@link #stop}, in milliseconds: requests accepted while stopping still have to
      * be read and then have their full time.
      */
-    long stopsWithinMs() {
+    long maxStopMs() {
         long longestUs = config.settings().classes.stream().mapToLong(RequestClass::deadlineUs).max()
                 .orElse(0);
         return ACCEPT_WHILE_STOPPING_MS + longestUs / 1_000 + STOP_MARGIN_MS;
@@ -427,7 +427,7 @@
      * reported to it only after the call that caused them.
      */
     private void callBalancer(PendingRequest request, Runnable action) {
-        metrics.observe(Peak.LOOP_LAG_MS, loopLag.us() / 1_000);
+        metrics.updateMax(Maximum.LOOP_LAG_MS, loopLag.lagUs() / 1_000);
         if (!inBalancerCall) {
             // Other sockets may be read before the watch although a change of the list has already arrived.
             gate.refresh();
@@ -472,7 +472,7 @@
         PendingRequest accepted = new PendingRequest(exchange,
                 arrivedUs + leftUs - Math.min(RESPONSE_MARGIN_US, leftUs / RESPONSE_MARGIN_DIVISOR));
         pendingRequests.put(request.id(), accepted);
-        metrics.count(Counter.REQUESTS_TAKEN);
+        metrics.increment(Counter.REQUESTS_TAKEN);
         LOG.log(Level.DEBUG, () -> "request " + hex(request.id()) + " accepted, class " + request.classIndex()
                 + ", " + leftUs / 1_000 + " ms left");
         accepted.deadlineTimer = scheduleAt(arrivedUs + request.remainingUs(), () -> expire(accepted));
@@ -523,9 +523,9 @@
         long timeoutAtUs = untilUs <= 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
         PendingAttempt attempt = new PendingAttempt(request, request.attempts.size(), serverId, now,
                 timeoutAtUs, sendByUs);
-        metrics.count(Counter.ATTEMPTS_STARTED);
+        metrics.increment(Counter.ATTEMPTS_STARTED);
         if (attempt.number > 0) {
-            metrics.count(Counter.ATTEMPTS_RETRIED);
+            metrics.increment(Counter.ATTEMPTS_RETRIED);
         }
         request.attempts.add(attempt);
         request.openAttempts++;
@@ -631,7 +631,7 @@
             watchFailing = false;
             LOG.log(Level.INFO, "the watch on the server list works again");
         }
-        gate.proven();
+        gate.confirmCurrent();
         if (listInUse) {
             applyList(list.all() ? ListKind.FULL : ListKind.CHANGES, list);
         } else {
@@ -641,12 +641,12 @@
 
     @Override
     public void onSilence(long asOfNs) {
-        gate.proven(asOfNs);
+        gate.confirmCurrent(asOfNs);
     }
 
     @Override
     public void onWatchFailed(String reason) {
-        metrics.count(Counter.WATCH_FAILURES);
+        metrics.increment(Counter.WATCH_FAILURES);
         // Only the first failure in a row at INFO: while discovery is down, the watch is retried continually.
         LOG.log(watchFailing ? Level.DEBUG : Level.INFO, "the watch on the server list failed: {0}", reason);
         watchFailing = true;
@@ -662,9 +662,9 @@
             entries.add(new ServerEntry(target.id(), zoneIndexes.getOrDefault(target.zone(), -1),
                     target.cell(), target.state(), target.weight(), 1_000 * target.bootMs()));
         }
-        gate.listPending();
+        gate.onListReceived();
         callBalancer(null, () -> {
-            gate.listTaken();
+            gate.onListApplied();
             recordList(kind, list);
             pool.update(list);
             balancer.onServers(nowUs(), kind, entries);
@@ -680,7 +680,7 @@
     /** Counts and logs how a request ends, unless it has ended before. */
     private void recordEnd(PendingRequest request, Counter counter, String reason) {
         if (!request.finished) {
-            metrics.count(counter);
+            metrics.increment(counter);
             LOG.log(Level.DEBUG, () -> "request " + hex(request.id) + " ended: " + reason + ", after "
                     + request.attempts.size() + " attempts");
         }
@@ -688,9 +688,9 @@
 
     private void recordSendDelay(PendingAttempt attempt) {
         long delayMs = (nowUs() - attempt.decidedUs) / 1_000;
-        long lagMs = loopLag.us() / 1_000;
-        boolean isLongestDelay = metrics.observe(Peak.SEND_DELAY_MS, delayMs);
-        boolean isLongestLag = metrics.observe(Peak.LOOP_LAG_AT_SEND_MS, lagMs);
+        long lagMs = loopLag.lagUs() / 1_000;
+        boolean isLongestDelay = metrics.updateMax(Maximum.SEND_DELAY_MS, delayMs);
+        boolean isLongestLag = metrics.updateMax(Maximum.LOOP_LAG_AT_SEND_MS, lagMs);
         if (isLongestDelay && delayMs >= LOGGED_DELAY_MS || isLongestLag && lagMs >= LOGGED_DELAY_MS) {
             LOG.log(Level.WARNING, "request {0} attempt {1} written to {2} {3} ms after the decision to send"
                     + " it, event-loop lag {4} ms, server list revision {5}", hex(attempt.request.id),
@@ -700,13 +700,13 @@
     }
 
     private void recordList(ListKind kind, ServerList list) {
-        metrics.count(Counter.LISTS_APPLIED);
+        metrics.increment(Counter.LISTS_APPLIED);
         listRevision = list.revision();
         String leaving = list.targets().stream().filter(t -> t.state() != ServerState.READY)
                 .limit(MAX_LOGGED_SERVERS).map(t -> t.id() + " " + t.state())
                 .collect(Collectors.joining(", "));
         LOG.log(leaving.isEmpty() ? Level.DEBUG : Level.INFO, () -> "server list revision "
                 + list.revision() + " (" + kind + "), entries: " + list.targets().size()
-                + ", event-loop lag " + loopLag.us() / 1_000 + " ms, not ready: " + leaving);
+                + ", event-loop lag " + loopLag.lagUs() / 1_000 + " ms, not ready: " + leaving);
     }
 }
--- a/src/main/java/cedarrelay/node/Rehearsal.java
+++ b/src/main/java/cedarrelay/node/WarmUp.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.RequestClass;
+import cedarrelay.Balancer.RetrySafety;
 import cedarrelay.Balancer.ServerState;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -23,9 +23,9 @@
  * first node's address. There they are recognized by a token and answered at once: none reaches a server or
  * the first node's decision module.
  */
-final class Rehearsal {
+final class WarmUp {
     /** Carries the token that marks a request of the warm-up. */
-    static final String HEADER = "X-Rehearsal";
+    static final String TOKEN_HEADER = "X-Rehearsal";
     private static final int CONCURRENT_CLIENTS = 4;
     private static final int SOCKET_LIMIT = Sockets.RESERVE + 64;
 
@@ -49,7 +49,7 @@
      * @param requestCount number of requests to send, or fewer if {@code maxMs} milliseconds pass before
      * @param onDone runs when the warm-up is over
      */
-    Rehearsal(EventLoop loop, Config nodeConfig, InetSocketAddress nodeAddress, String token,
+    WarmUp(EventLoop loop, Config nodeConfig, InetSocketAddress nodeAddress, String token,
             int requestCount, long maxMs, Runnable onDone) {
         this.loop = loop;
         this.token = token;
@@ -66,7 +66,7 @@
 
     /** Starts the warm-up; {@code onDone} runs when it is over, after {@code maxMs} at the latest. */
     void run() {
-        warmUpNode.rehearse();
+        warmUpNode.startAsWarmUpNode();
         // A failure of the warm-up must not keep the node from becoming ready.
         loop.schedule(this::finish, endNs - System.nanoTime(), TimeUnit.NANOSECONDS);
         for (int i = 0; i < CONCURRENT_CLIENTS; i++) {
@@ -103,7 +103,7 @@
         return Unpooled.copiedBuffer((safe ? "GET" : "POST") + " /" + requestClass.name() + " HTTP/1.1\r\n"
                 + "Host: backend.local\r\nX-Txn: " + HexFormat.of().toHexDigits((long) number) + "\r\n"
                 + tenant
-                + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + HEADER + ": " + token + "\r\n"
+                + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + TOKEN_HEADER + ": " + token + "\r\n"
                 + (safe ? "" : "Content-Length: 4\r\n")
                 + (requestClass.retrySafety() == RetrySafety.KEYED
                         ? "Idempotency-Key: " + number + "\r\n" : "")
@@ -113,7 +113,7 @@
     /** A client connection without a socket: each message written to it is a response. */
     private final class EmbeddedClient extends EmbeddedChannel {
         EmbeddedClient() {
-            warmUpNode.openRehearsal(pipeline());
+            warmUpNode.openSocketlessClient(pipeline());
             pipeline().fireChannelActive();
         }
 
--- a/src/test/java/cedarrelay/node/StallTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -39,7 +39,7 @@
  * received during the lag are taken into account before the node acts.
  */
 @Timeout(120)
-class StallTest {
+class EventLoopLagTest {
     private static final int BLOCK_MS = 500;
     /** One tick of the lag measurement, plus delays of the test's own threads. */
     private static final int SLACK_MS = 100;
@@ -344,7 +344,7 @@
                 // Requests accepted before the event loop reads its sockets.
                 for (int i = 0; i < 20; i++) {
                     EmbeddedChannel client = new EmbeddedChannel();
-                    node.openRehearsal(client.pipeline());
+                    node.openSocketlessClient(client.pipeline());
                     client.pipeline().fireChannelActive();
                     client.writeInbound(Unpooled.copiedBuffer(viewRequest(i), StandardCharsets.US_ASCII));
                 }
@@ -453,11 +453,11 @@
 
     @Test
     void loopLagCoversABlockedIteration() throws Exception {
-        Stall loopLag = new Stall(loop);
-        loop.submit(loopLag::watch).get();
+        EventLoopLag loopLag = new EventLoopLag(loop);
+        loop.submit(loopLag::start).get();
         blockLoop(new CountDownLatch(0), BLOCK_MS);
         // In the next iteration, which reads the data received during the block.
-        long lagUs = loop.submit(loopLag::us).get();
+        long lagUs = loop.submit(loopLag::lagUs).get();
         assertTrue(lagUs >= TimeUnit.MILLISECONDS.toMicros(BLOCK_MS - SLACK_MS), lagUs + " us");
         loop.submit(loopLag::close).get();
     }
--- a/src/test/java/cedarrelay/node/FaultSoakTest.java
+++ b/src/test/java/cedarrelay/node/FaultSoakTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Runs a fleet of node processes under random, overlapping faults and checks with {@link SoakLedger} that no
+ * Runs a fleet of node processes under random, overlapping faults and checks with {@link SoakRules} that no
  * rule is broken. The seed determines the faults. By default it runs one seed for a short time; for more use
  * {@code -Dsoak.seeds=1-20 -Dsoak.nodes=10 -Dsoak.seconds=20}. With every third seed the nodes request their
  * server lists; with the others the lists are pushed.
@@ -40,7 +40,7 @@
     private final List<SoakNode> nodes = new ArrayList<>();
     private final Queue<String> timeline = new ConcurrentLinkedQueue<>();
     private SoakDiscovery[] agents;
-    private SoakLedger ledger;
+    private SoakRules rules;
     private SplittableRandom random;
     private ExecutorService faultExecutor;
     private int serverCount;
@@ -61,7 +61,7 @@
             List<Thread> threads = new ArrayList<>();
             for (SoakNode node : nodes) {
                 for (int i = 0; i < CLIENTS_PER_NODE; i++) {
-                    SoakClient client = new SoakClient(node, i, ledger, random.nextLong());
+                    SoakClient client = new SoakClient(node, i, rules, random.nextLong());
                     clients.add(client);
                     threads.add(new Thread(client));
                 }
@@ -89,10 +89,10 @@
     /** Starts the agents, servers and nodes, and waits until all nodes are ready. */
     private void startFleet(boolean pushed) throws Exception {
         agents = new SoakDiscovery[NODES];
-        ledger = new SoakLedger(agents, pushed);
+        rules = new SoakRules(agents, pushed);
         for (int i = 0; i < NODES; i++) {
             agents[i] = new SoakDiscovery();
-            nodes.add(new SoakNode(i, agents[i], ledger, pushed));
+            nodes.add(new SoakNode(i, agents[i], rules, pushed));
         }
         for (int i = 0; i < SERVERS; i++) {
             addServer();
@@ -124,14 +124,14 @@
             node.checkCounters();
             sendsHeld += node.metric("sends_held_total");
         }
-        System.out.println("soak seed " + seed + ": " + ledger.arrivals + " attempts, " + ledger.served
-                + " served, " + ledger.refused + " refused, " + ledger.failed + " failed, " + sendsHeld
-                + " held, violations " + ledger.violations);
-        if (!ledger.violations.isEmpty()) {
+        System.out.println("soak seed " + seed + ": " + rules.arrivals + " attempts, " + rules.served
+                + " served, " + rules.refused + " refused, " + rules.failed + " failed, " + sendsHeld
+                + " held, violations " + rules.violations);
+        if (!rules.violations.isEmpty()) {
             timeline.forEach(System.out::println);
         }
-        assertEquals(List.of(), List.copyOf(ledger.violations), "seed " + seed);
-        assertTrue(ledger.served.get() > NODES * DURATION_S, "too few requests were served");
+        assertEquals(List.of(), List.copyOf(rules.violations), "seed " + seed);
+        assertTrue(rules.served.get() > NODES * DURATION_S, "too few requests were served");
     }
 
     private void stopFleet() throws IOException {
@@ -160,7 +160,7 @@
             runFault("restart node " + node.index, node::restart);
         } else if (choice < 82) {
             SoakDiscovery.WatchFault fault = SoakDiscovery.WatchFault.values()[random.nextInt(3)];
-            timeline.add(ledger.timestamp() + " watches " + fault);
+            timeline.add(rules.timestamp() + " watches " + fault);
             for (SoakDiscovery agent : agents) {
                 agent.breakWatches(fault);
             }
@@ -188,7 +188,7 @@
     }
 
     private void addServer() throws IOException {
-        SoakServer server = new SoakServer("s-" + ++serverCount, ledger);
+        SoakServer server = new SoakServer("s-" + ++serverCount, rules);
         servers.add(server);
         readyServers.add(server);
         announce(server, "Ready");
@@ -222,11 +222,11 @@
     private void runFault(String description, FaultAction fault) {
         faultExecutor.execute(() -> {
             try {
-                timeline.add(ledger.timestamp() + " " + description);
+                timeline.add(rules.timestamp() + " " + description);
                 fault.run();
-                timeline.add(ledger.timestamp() + " ended: " + description);
+                timeline.add(rules.timestamp() + " ended: " + description);
             } catch (Exception | AssertionError e) {
-                ledger.recordViolation(description + " could not be run: " + e);
+                rules.recordViolation(description + " could not be run: " + e);
             }
         });
     }
--- a/src/test/java/cedarrelay/node/NodeTest.java
+++ b/src/test/java/cedarrelay/node/NodeTest.java
@@ -119,7 +119,7 @@
         JsonObject json = Fixture.config(discovery, firstServer);
         String token = Long.toHexString(
                 new SplittableRandom(Long.parseUnsignedLong(json.get("seed").getAsString(), 16)).nextLong());
-        String header = Rehearsal.HEADER + ": " + token + "\r\n";
+        String header = WarmUp.TOKEN_HEADER + ": " + token + "\r\n";
         assertTrue(roundTrip(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
         assertTrue(firstServer.requests.isEmpty(), "sent to a server");
     }
--- a/src/test/java/cedarrelay/node/HeldUpProcessTest.java
+++ b/src/test/java/cedarrelay/node/PausedProcessTest.java
@@ -32,7 +32,7 @@
  * applies to everything that the node sends from then on.
  */
 @Timeout(120)
-class HeldUpProcessTest {
+class PausedProcessTest {
     /** Longer than the grace period of the fixture's settings, 500 ms, plus a tolerance of 50 ms. */
     private static final int PAUSE_MS = 700;
     /** Longer than a node waits for discovery before it uses its known list. */
--- a/src/test/java/cedarrelay/node/SoakClient.java
+++ b/src/test/java/cedarrelay/node/SoakClient.java
@@ -20,7 +20,7 @@
     private static final String[] PATHS = {"view", "photo", "order"};
 
     private final SoakNode node;
-    private final SoakLedger ledger;
+    private final SoakRules rules;
     private final SplittableRandom random;
     private final long idBase;
     private volatile boolean stopped;
@@ -29,9 +29,9 @@
     private boolean unusedConnection;
     private int requestCount;
 
-    SoakClient(SoakNode node, int number, SoakLedger ledger, long seed) {
+    SoakClient(SoakNode node, int number, SoakRules rules, long seed) {
         this.node = node;
-        this.ledger = ledger;
+        this.rules = rules;
         random = new SplittableRandom(seed);
         idBase = (long) (node.index + 1) << 40 | (long) (number + 1) << 24;
     }
@@ -76,12 +76,12 @@
 
     private void sendRequest() throws InterruptedException {
         String id = String.format("%016x", idBase | ++requestCount);
-        SoakLedger.RequestKind kind = SoakLedger.RequestKind.values()[random.nextInt(PATHS.length)];
+        SoakRules.RequestKind kind = SoakRules.RequestKind.values()[random.nextInt(PATHS.length)];
         int remainingMs = random.nextInt(200, SoakNode.MAX_DEADLINE_MS);
         int terminationsBefore = node.terminations.get();
-        SoakLedger.SentRequest request = new SoakLedger.SentRequest(node.index, kind,
+        SoakRules.SentRequest request = new SoakRules.SentRequest(node.index, kind,
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(remainingMs));
-        ledger.recordRequest(id, request);
+        rules.recordRequest(id, request);
         try {
             FakePeer.write(socket, buildRequest(kind, id, remainingMs));
             if (random.nextInt(DISCONNECT_ONE_IN) == 0) {
@@ -104,20 +104,20 @@
         }
     }
 
-    private static String buildRequest(SoakLedger.RequestKind kind, String id, int remainingMs) {
-        boolean safe = kind == SoakLedger.RequestKind.SAFE;
+    private static String buildRequest(SoakRules.RequestKind kind, String id, int remainingMs) {
+        boolean safe = kind == SoakRules.RequestKind.SAFE;
         return (safe ? "GET /" : "POST /") + PATHS[kind.ordinal()] + " HTTP/1.1\r\nHost: a\r\nX-Txn: " + id
                 + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
-                + (kind == SoakLedger.RequestKind.KEYED ? "Idempotency-Key: k" + id + "\r\n" : "")
+                + (kind == SoakRules.RequestKind.KEYED ? "Idempotency-Key: k" + id + "\r\n" : "")
                 + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
     }
 
     private void recordResponse(String response) {
         unusedConnection = false;
-        (response.startsWith("HTTP/1.1 200") ? ledger.served
-                : response.startsWith("HTTP/1.1 503") ? ledger.refused : ledger.failed).incrementAndGet();
+        (response.startsWith("HTTP/1.1 200") ? rules.served
+                : response.startsWith("HTTP/1.1 503") ? rules.refused : rules.failed).incrementAndGet();
         if (response.startsWith("HTTP/1.1 503") && FakePeer.header(response, "Retry-After") == null) {
-            ledger.recordViolation("node " + node.index + " refused a request without Retry-After");
+            rules.recordViolation("node " + node.index + " refused a request without Retry-After");
         }
         if ("close".equals(FakePeer.header(response, "Connection"))) {
             disconnect();
@@ -135,7 +135,7 @@
         // A kill is counted before it happens, but the end of a process after SIGTERM shortly after it.
         TimeUnit.MILLISECONDS.sleep(100);
         if (!excused && node.terminations.get() == terminationsBefore) {
-            ledger.recordViolation("no response to " + id + " of node " + node.index + ": " + cause);
+            rules.recordViolation("no response to " + id + " of node " + node.index + ": " + cause);
         }
     }
 
--- a/src/test/java/cedarrelay/node/SoakNode.java
+++ b/src/test/java/cedarrelay/node/SoakNode.java
@@ -34,14 +34,14 @@
     final AtomicInteger terminations = new AtomicInteger();
     /** When the current process was sent SIGTERM, by System.nanoTime, or 0. */
     volatile long stopSignalNs;
-    private final SoakLedger ledger;
+    private final SoakRules rules;
     private final boolean pushed;
     private NodeProcess process;
 
-    SoakNode(int index, SoakDiscovery agent, SoakLedger ledger, boolean pushed) throws IOException {
+    SoakNode(int index, SoakDiscovery agent, SoakRules rules, boolean pushed) throws IOException {
         this.index = index;
         this.agent = agent;
-        this.ledger = ledger;
+        this.rules = rules;
         this.pushed = pushed;
         port = NodeProcess.freePort();
         logFile = Files.createTempFile("soak-" + index + "-", ".log");
@@ -73,7 +73,7 @@
             TimeUnit.MILLISECONDS.sleep(ms);
         } finally {
             // Recorded before the process continues, so that checks of its first sends find the pause.
-            ledger.recordPause(index, fromNs, System.nanoTime());
+            rules.recordPause(index, fromNs, System.nanoTime());
             process.signal("CONT");
         }
     }
@@ -95,13 +95,13 @@
         stopSignalNs = System.nanoTime();
         process.signal("TERM");
         if (!process.awaitEnd(MAX_STOP_MS)) {
-            ledger.recordViolation("node " + index + " is still running " + MAX_STOP_MS
+            rules.recordViolation("node " + index + " is still running " + MAX_STOP_MS
                     + " ms after SIGTERM");
         } else if (process.exitValue() == SIGTERM_EXIT_STATUS && !wasReady) {
             // SIGTERM came before the program had set up its signal handler, so the JVM ended it.
             terminations.incrementAndGet();
         } else if (process.exitValue() != 0) {
-            ledger.recordViolation("node " + index + " ended with exit status " + process.exitValue());
+            rules.recordViolation("node " + index + " ended with exit status " + process.exitValue());
         }
         process.close();
         start();
@@ -111,7 +111,7 @@
     synchronized void checkCounters() throws IOException {
         if (!process.isAlive()) {
             List<String> logLines = Files.readAllLines(logFile);
-            ledger.recordViolation("node " + index + " has ended unexpectedly: "
+            rules.recordViolation("node " + index + " has ended unexpectedly: "
                     + logLines.subList(Math.max(0, logLines.size() - 5), logLines.size()));
             return;
         }
@@ -123,7 +123,7 @@
                 String name = counter.name().toLowerCase(java.util.Locale.ROOT) + "_total";
                 long count = process.metric(name);
                 if (count > 0) {
-                    ledger.recordViolation("node " + index + " reports " + name + " " + count);
+                    rules.recordViolation("node " + index + " reports " + name + " " + count);
                 }
             }
         }
--- a/src/test/java/cedarrelay/node/SoakLedger.java
+++ b/src/test/java/cedarrelay/node/SoakRules.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Checks what the clients, servers and agents of a soak observe against the rules. Thread-safe. */
-final class SoakLedger {
+final class SoakRules {
     /** The request classes of the soak's settings, in their order. */
     enum RequestKind { SAFE, KEYED, UNSAFE }
 
@@ -53,7 +53,7 @@
     private final long startNs = System.nanoTime();
 
     /** Where lists are not pushed, changes missed by a broken watch count as notified only 6 s later. */
-    SoakLedger(SoakDiscovery[] agents, boolean pushed) {
+    SoakRules(SoakDiscovery[] agents, boolean pushed) {
         this.agents = agents;
         graceNs = GRACE_NS + (pushed ? 0 : ON_REQUEST_DELAY_NS);
     }
--- a/src/test/java/cedarrelay/node/SoakServer.java
+++ b/src/test/java/cedarrelay/node/SoakServer.java
@@ -15,12 +15,12 @@
 
     final String id;
     volatile Mode mode = Mode.SERVE;
-    private final SoakLedger ledger;
+    private final SoakRules rules;
     private final FakePeer peer;
 
-    SoakServer(String id, SoakLedger ledger) throws IOException {
+    SoakServer(String id, SoakRules rules) throws IOException {
         this.id = id;
-        this.ledger = ledger;
+        this.rules = rules;
         peer = new FakePeer(this::respond);
     }
 
@@ -36,7 +36,7 @@
             return;
         }
         Mode currentMode = mode;
-        ledger.recordArrival(id, FakePeer.header(request, "X-Txn"), receivedNs,
+        rules.recordArrival(id, FakePeer.header(request, "X-Txn"), receivedNs,
                 Long.parseLong(FakePeer.header(request, "X-Remaining-Ms")), currentMode != Mode.REJECT);
         switch (currentMode) {
             case SERVE -> {
