--- a/src/main/java/cedarrelay/node/Config.java
+++ b/src/main/java/cedarrelay/node/Config.java
@@ -98,10 +98,10 @@
         }
         Map<String, String> values = flatten(requireObject(json, "settings"));
         Settings settings = BootInfo.read(values);
-        ServerList known = json.has("known") ? ServerList.of(json.get("known"))
+        ServerList known = json.has("known") ? ServerList.fromJson(json.get("known"))
                 : new ServerList(0, true, List.of());
-        return new Config(ServerList.address(requireText(environment, "LB_LISTEN", json, "listen")),
-                ServerList.address(requireText(environment, DISCOVERY_VARIABLE, json, "discovery")),
+        return new Config(ServerList.parseAddress(requireText(environment, "LB_LISTEN", json, "listen")),
+                ServerList.parseAddress(requireText(environment, DISCOVERY_VARIABLE, json, "discovery")),
                 seed(json),
                 sockets(json),
                 parseWhole(values.getOrDefault("limits.connIdleUs", DEFAULT_CONN_IDLE_US)),
--- a/src/main/java/cedarrelay/node/Discovery.java
+++ b/src/main/java/cedarrelay/node/Discovery.java
@@ -42,12 +42,12 @@
      * misses counts as notified after 6 s, and {@code rules.drainGraceUs} later no request may be sent by the
      * outdated list. By then another call has to be answered, which may be slow if lists come on request.
      */
-    static final long SILENT_MS = 3_000;
+    static final long IDLE_TIMEOUT_MS = 3_000;
     /**
      * Response timeout of a call if lists are pushed: discovery's agent on this machine then begins its
      * response at once or not at all.
      */
-    static final long BEGUN_MS = 400;
+    static final long RESPONSE_TIMEOUT_MS = 400;
     /** Longest gap between two parts of a message; a message that is cut short is never completed. */
     private static final long MAX_MESSAGE_GAP_MS = 250;
     /**
@@ -60,7 +60,7 @@
     /** If a response has no content so long after its head, discovery has no change to report. */
     private static final long FIRST_CONTENT_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(100);
     /** Limit of reads in a row to empty the kernel's receive buffer. */
-    private static final int MAX_CATCH_UP_READS = 256;
+    private static final int MAX_CONSECUTIVE_READS = 256;
     /** No revision is known, so the full list is requested. */
     private static final long NO_REVISION = -1;
     /** Room for a line for each of some thousand servers; a larger message is malformed. */
@@ -82,7 +82,7 @@
          *
          * @param asOfNs the time of the call, by {@link System#nanoTime}
          */
-        default void onSilence(long asOfNs) { }
+        default void onNoResponse(long asOfNs) { }
     }
 
     private final EventLoop loop;
@@ -153,12 +153,12 @@
      *
      * @return whether the list is current: the watch is open, answered and read to the end of a message
      */
-    boolean catchUp() {
+    boolean readAvailable() {
         Watch current = watch;
         if (current == null || current.channel == null) {
             return false;
         }
-        current.catchUp();
+        current.readAvailable();
         return current == watch && current.isCurrent();
     }
 
@@ -222,7 +222,7 @@
                         if (future.isSuccess()) {
                             sendRequest();
                         } else {
-                            listener.onSilence(requestedNs);
+                            listener.onNoResponse(requestedNs);
                             fail("cannot connect to discovery: " + future.cause());
                         }
                     });
@@ -234,9 +234,8 @@
             request.headers().set(HttpHeaderNames.HOST,
                     address.getAddress().getHostAddress() + ":" + address.getPort());
             channel.writeAndFlush(request);
-            // Lag of this node's own event loop before this moment must not count as silence of discovery.
-            // The first timeout comes early, for an early report of the silence; it is extended to
-            // callTimeoutMs.
+            // Lag of this node's own event loop before this moment must not count as a missing response.
+            // The first timeout comes early, for an early report; it is extended to callTimeoutMs.
             requestedNs = System.nanoTime();
             restartTimeout(REPEATED_CALL_TIMEOUT_MS);
         }
@@ -311,12 +310,12 @@
         private void onTimeout() {
             ScheduledFuture<?> expired = timeout;
             if (channel != null) {
-                catchUp();
+                readAvailable();
             }
             if (timeout == expired) {
                 if (headReceivedNs == 0) {
                     // Holds however late this timer runs: discovery did not respond when it was called.
-                    listener.onSilence(requestedNs);
+                    listener.onNoResponse(requestedNs);
                 }
                 long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - requestedNs);
                 if (headReceivedNs == 0 && waitedMs < callTimeoutMs) {
@@ -329,16 +328,16 @@
         }
 
         /** Reads from the socket until nothing more has arrived. */
-        private void catchUp() {
+        private void readAvailable() {
             long previousBytes = -1;
-            for (int i = 0; i < MAX_CATCH_UP_READS && previousBytes != receivedBytes && !closed
+            for (int i = 0; i < MAX_CONSECUTIVE_READS && previousBytes != receivedBytes && !closed
                     && channel.isActive(); i++) {
                 previousBytes = receivedBytes;
                 ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
             }
         }
 
-        /** Counts received bytes, so that {@link #catchUp} can tell when everything has been read. */
+        /** Counts received bytes, so that {@link #readAvailable} can tell when everything has been read. */
         private final class ByteCounter extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
--- a/src/main/java/cedarrelay/node/MembershipGate.java
+++ b/src/main/java/cedarrelay/node/MembershipGate.java
@@ -70,7 +70,7 @@
 
     /** Reads received list changes, unless that was done just now. Called before each decision and send. */
     void refresh() {
-        if (discovery != null && System.nanoTime() - confirmedNs > FRESH_NS && discovery.catchUp()) {
+        if (discovery != null && System.nanoTime() - confirmedNs > FRESH_NS && discovery.readAvailable()) {
             confirmCurrent();
         }
     }
--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -149,8 +149,8 @@
             finished = true;
             deadlineTimer.cancel(false);
             for (PendingAttempt attempt : new ArrayList<>(attempts)) {
-                if (attempt.poolAttempt != null && !attempt.poolAttempt.isOut()) {
-                    attempt.poolAttempt.giveUp(Result.NOT_SENT);
+                if (attempt.poolAttempt != null && !attempt.poolAttempt.hasConnection()) {
+                    attempt.poolAttempt.abandon(Result.NOT_SENT);
                 }
             }
             removeIfDone();
@@ -167,7 +167,7 @@
     }
 
     /** An attempt of a pending request at one server. */
-    private final class PendingAttempt implements ServerPool.Caller {
+    private final class PendingAttempt implements ServerPool.AttemptOwner {
         private final PendingRequest request;
         private final int number;
         private final String serverId;
@@ -192,12 +192,12 @@
         }
 
         @Override
-        public boolean isWanted() {
+        public boolean isStillWanted() {
             return nowUs() < timeoutAtUs && nowUs() <= sendByUs && request.isClientWaiting();
         }
 
         @Override
-        public FullHttpRequest message() {
+        public FullHttpRequest createRequest() {
             // The request may have waited for a connection; event-loop lag until now isn't server latency.
             lagUs = Math.min(loopLag.lagUs(), nowUs() - decidedUs);
             metrics.increment(Counter.ATTEMPTS_WRITTEN);
@@ -215,7 +215,7 @@
             if (!listInUse) {
                 metrics.recordViolation(Counter.VIOLATIONS_SEND_BEFORE_LIST, attemptName);
             }
-            if (!pool.admits(serverId)) {
+            if (!pool.acceptsRequests(serverId)) {
                 metrics.recordViolation(Counter.VIOLATIONS_SEND_TO_DRAINING, attemptName);
             }
             long now = nowUs();
@@ -238,7 +238,7 @@
         }
 
         @Override
-        public void ended(Result result, Answer answer) {
+        public void onResult(Result result, Answer answer) {
             ended = true;
             this.result = result;
             request.openAttempts--;
@@ -281,12 +281,12 @@
         gate = new MembershipGate(loop, metrics, !config.settings().listOnRequest,
                 config.settings().drainGraceUs, loopLag::lagUs, this::resume);
         pool = new ServerPool(loop, sockets, config.settings().connectTimeoutUs, config.connIdleUs(),
-                ServerPool.REST_US, gate::mayWrite);
+                ServerPool.QUARANTINE_US, gate::mayWrite);
         clientServer = new ClientServer(loop, sockets, loopLag, new ClientRequest.Reader(config.settings()),
                 this::acceptRequest, metrics);
         discovery = new Discovery(loop, config.discovery(), config.known().revision(),
-                config.settings().listOnRequest ? Discovery.SILENT_MS : Discovery.BEGUN_MS,
-                Discovery.SILENT_MS, this);
+                config.settings().listOnRequest ? Discovery.IDLE_TIMEOUT_MS : Discovery.RESPONSE_TIMEOUT_MS,
+                Discovery.IDLE_TIMEOUT_MS, this);
     }
 
     /**
@@ -305,7 +305,7 @@
         discovery.subscribe();
         loop.schedule(() -> {
             // If the event loop lags, discovery's response may not have been read yet.
-            discovery.catchUp();
+            discovery.readAvailable();
             useFirstList(ListKind.CACHED, config.known());
         }, listWaitMs, TimeUnit.MILLISECONDS);
         onReady = whenReady;
@@ -317,7 +317,7 @@
                 LOG.log(Level.INFO,
                         "listening on {0}, random seed {1}, known server list: revision {2}, {3} servers",
                         binding.channel().localAddress(), Long.toHexString(config.seed()),
-                        Long.toString(config.known().revision()), config.known().targets().size());
+                        Long.toString(config.known().revision()), config.known().entries().size());
                 String token = Long.toHexString(new SplittableRandom(config.seed()).nextLong());
                 clientServer.setRehearsal(token);
                 new WarmUp(loop, config, (InetSocketAddress) binding.channel().localAddress(), token,
@@ -530,13 +530,13 @@
         request.attempts.add(attempt);
         request.openAttempts++;
         if (now >= timeoutAtUs || now > sendByUs) {
-            attempt.ended(Result.NOT_SENT, null);
+            attempt.onResult(Result.NOT_SENT, null);
             return;
         }
-        attempt.timeoutTimer = scheduleAt(timeoutAtUs, () -> attempt.poolAttempt.giveUp(Result.TIMEOUT));
+        attempt.timeoutTimer = scheduleAt(timeoutAtUs, () -> attempt.poolAttempt.abandon(Result.TIMEOUT));
         attempt.poolAttempt = pool.start(serverId, attempt);
         if (sendByUs < timeoutAtUs && !attempt.ended) {
-            attempt.sendByTimer = scheduleAt(sendByUs, attempt.poolAttempt::giveUpUnlessSent);
+            attempt.sendByTimer = scheduleAt(sendByUs, attempt.poolAttempt::abandonUnlessFullyWritten);
         }
     }
 
@@ -546,7 +546,7 @@
         if (request != null && attemptNumber >= 0 && attemptNumber < request.attempts.size()) {
             PendingAttempt attempt = request.attempts.get(attemptNumber);
             if (!attempt.ended) {
-                attempt.poolAttempt.giveUp(Result.CANCELLED);
+                attempt.poolAttempt.abandon(Result.CANCELLED);
             }
         }
     }
@@ -583,10 +583,10 @@
         long startedUs = nowUs();
         ServerPool.Attempt[] probe = new ServerPool.Attempt[1];
         ScheduledFuture<?> timer = scheduleAt(startedUs + PROBE_TIMEOUT_US,
-                () -> probe[0].giveUp(Result.TIMEOUT));
-        probe[0] = pool.start(serverId, new ServerPool.Caller() {
+                () -> probe[0].abandon(Result.TIMEOUT));
+        probe[0] = pool.start(serverId, new ServerPool.AttemptOwner() {
             @Override
-            public FullHttpRequest message() {
+            public FullHttpRequest createRequest() {
                 FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                         "/health");
                 message.headers().set(HttpHeaderNames.HOST, "backend.local");
@@ -594,7 +594,7 @@
             }
 
             @Override
-            public void ended(Result result, Answer answer) {
+            public void onResult(Result result, Answer answer) {
                 timer.cancel(false);
                 long tookUs = nowUs() - startedUs;
                 callBalancer(null, () -> balancer.onProbe(nowUs(), serverId, result, tookUs, null));
@@ -633,14 +633,14 @@
         }
         gate.confirmCurrent();
         if (listInUse) {
-            applyList(list.all() ? ListKind.FULL : ListKind.CHANGES, list);
+            applyList(list.isFull() ? ListKind.FULL : ListKind.CHANGES, list);
         } else {
-            useFirstList(ListKind.FULL, config.known().with(list));
+            useFirstList(ListKind.FULL, config.known().apply(list));
         }
     }
 
     @Override
-    public void onSilence(long asOfNs) {
+    public void onNoResponse(long asOfNs) {
         gate.confirmCurrent(asOfNs);
     }
 
@@ -658,9 +658,9 @@
 
     private void applyList(ListKind kind, ServerList list) {
         List<ServerEntry> entries = new ArrayList<>();
-        for (ServerList.Target target : list.targets()) {
-            entries.add(new ServerEntry(target.id(), zoneIndexes.getOrDefault(target.zone(), -1),
-                    target.cell(), target.state(), target.weight(), 1_000 * target.bootMs()));
+        for (ServerList.Entry entry : list.entries()) {
+            entries.add(new ServerEntry(entry.id(), zoneIndexes.getOrDefault(entry.zone(), -1),
+                    entry.cell(), entry.state(), entry.weight(), 1_000 * entry.bootMs()));
         }
         gate.onListReceived();
         callBalancer(null, () -> {
@@ -702,11 +702,11 @@
     private void recordList(ListKind kind, ServerList list) {
         metrics.increment(Counter.LISTS_APPLIED);
         listRevision = list.revision();
-        String leaving = list.targets().stream().filter(t -> t.state() != ServerState.READY)
+        String leaving = list.entries().stream().filter(t -> t.state() != ServerState.READY)
                 .limit(MAX_LOGGED_SERVERS).map(t -> t.id() + " " + t.state())
                 .collect(Collectors.joining(", "));
         LOG.log(leaving.isEmpty() ? Level.DEBUG : Level.INFO, () -> "server list revision "
-                + list.revision() + " (" + kind + "), entries: " + list.targets().size()
+                + list.revision() + " (" + kind + "), entries: " + list.entries().size()
                 + ", event-loop lag " + loopLag.lagUs() / 1_000 + " ms, not ready: " + leaving);
     }
 }
--- a/src/main/java/cedarrelay/node/ServerList.java
+++ b/src/main/java/cedarrelay/node/ServerList.java
@@ -16,10 +16,10 @@
  * A message of discovery: the full server list, or the servers that changed since an earlier revision.
  *
  * @param revision the revision of the list that the message leads to
- * @param all whether it is the full list
- * @param targets the servers of the list, or those that changed
+ * @param isFull whether it is the full list
+ * @param entries the servers of the list, or those that changed
  */
-record ServerList(long revision, boolean all, List<Target> targets) {
+record ServerList(long revision, boolean isFull, List<Entry> entries) {
 
     /**
      * A server of the list.
@@ -28,7 +28,7 @@
      * @param weight its capacity relative to the other servers; 1 if the list doesn't say
      * @param bootMs when its process last started, Unix time in milliseconds; 0 if the list doesn't say
      */
-    record Target(String id, InetSocketAddress address, String zone, int cell, ServerState state,
+    record Entry(String id, InetSocketAddress address, String zone, int cell, ServerState state,
             double weight, long bootMs) { }
 
     /**
@@ -38,7 +38,7 @@
      */
     static ServerList parse(String json) {
         try {
-            return of(JsonParser.parseString(json));
+            return fromJson(JsonParser.parseString(json));
         } catch (JsonParseException e) {
             throw new IllegalArgumentException("not JSON: " + e.getMessage(), e);
         }
@@ -50,15 +50,15 @@
      *
      * @throws IllegalArgumentException with a short reason if it is not a valid message
      */
-    static ServerList of(JsonElement json) {
+    static ServerList fromJson(JsonElement json) {
         try {
             JsonObject message = json.getAsJsonObject();
-            List<Target> targets = new ArrayList<>();
-            for (JsonElement target : message.getAsJsonArray("targets")) {
-                targets.add(parseTarget(target.getAsJsonObject()));
+            List<Entry> parsedEntries = new ArrayList<>();
+            for (JsonElement element : message.getAsJsonArray("targets")) {
+                parsedEntries.add(parseEntry(element.getAsJsonObject()));
             }
             return new ServerList(required(message, "rev").getAsLong(),
-                    required(message, "all").getAsBoolean(), List.copyOf(targets));
+                    required(message, "all").getAsBoolean(), List.copyOf(parsedEntries));
         } catch (IllegalStateException | NullPointerException | UnsupportedOperationException
                 | ClassCastException e) {
             throw new IllegalArgumentException("not a server list: " + e.getMessage(), e);
@@ -69,20 +69,20 @@
      * Returns the full list that results from applying a message to this list, without removed servers. This
      * list must be a full one.
      */
-    ServerList with(ServerList next) {
-        Map<String, Target> byId = new LinkedHashMap<>();
-        if (!next.all) {
-            targets.forEach(target -> byId.put(target.id(), target));
+    ServerList apply(ServerList next) {
+        Map<String, Entry> byId = new LinkedHashMap<>();
+        if (!next.isFull) {
+            entries.forEach(entry -> byId.put(entry.id(), entry));
         }
-        next.targets.forEach(target -> byId.put(target.id(), target));
-        byId.values().removeIf(target -> target.state() == ServerState.REMOVED);
+        next.entries.forEach(entry -> byId.put(entry.id(), entry));
+        byId.values().removeIf(entry -> entry.state() == ServerState.REMOVED);
         return new ServerList(next.revision, true, List.copyOf(byId.values()));
     }
 
-    private static Target parseTarget(JsonObject entry) {
+    private static Entry parseEntry(JsonObject entry) {
         String state = required(entry, "state").getAsString();
-        return new Target(required(entry, "uid").getAsString(),
-                address(required(entry, "endpoint").getAsString()),
+        return new Entry(required(entry, "uid").getAsString(),
+                parseAddress(required(entry, "endpoint").getAsString()),
                 entry.has("az") ? entry.get("az").getAsString() : "",
                 entry.has("pod_group") ? entry.get("pod_group").getAsInt() : 0,
                 switch (state) {
@@ -119,7 +119,7 @@
      *
      * @throws IllegalArgumentException if the text has another form
      */
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String digits = text.substring(colon + 1);
--- a/src/main/java/cedarrelay/node/ServerPool.java
+++ b/src/main/java/cedarrelay/node/ServerPool.java
@@ -44,24 +44,24 @@
      * Quarantine of a connection after a response, before it is reused. A duplicate of the response may
      * arrive some milliseconds late and would be taken for the response to the next request.
      */
-    static final long REST_US = 10_000;
+    static final long QUARANTINE_US = 10_000;
 
     /** The owner of an attempt: supplies the request and receives the result. */
-    interface Caller {
+    interface AttemptOwner {
         /** Whether the attempt is still to be sent; called right before its first byte is written. */
-        default boolean isWanted() {
+        default boolean isStillWanted() {
             return true;
         }
 
         /** Creates the request; called once, when it is written. */
-        FullHttpRequest message();
+        FullHttpRequest createRequest();
 
         /**
          * Reports the result, exactly once for each attempt.
          *
          * @param answer the response if the result is OK, ERROR or REJECTED, else null
          */
-        void ended(Result result, Answer answer);
+        void onResult(Result result, Answer answer);
     }
 
     /** A server, its idle connections and the attempts that wait for a connection. */
@@ -87,18 +87,18 @@
     /** A request that is sent, or is to be sent, to one server. */
     final class Attempt {
         private final Server server;
-        private final Caller caller;
+        private final AttemptOwner owner;
         private Connection connection;
         private long sentNs;
         private boolean finished;
 
-        private Attempt(Server server, Caller caller) {
+        private Attempt(Server server, AttemptOwner owner) {
             this.server = server;
-            this.caller = caller;
+            this.owner = owner;
         }
 
         /** Whether a connection has been assigned, so that bytes may have reached the server. */
-        boolean isOut() {
+        boolean hasConnection() {
             return connection != null;
         }
 
@@ -111,7 +111,7 @@
          *
          * @param result TIMEOUT if no response came in time, CANCELLED if the attempt is no longer needed
          */
-        void giveUp(Result result) {
+        void abandon(Result result) {
             if (finished) {
                 return;
             }
@@ -141,16 +141,16 @@
         }
 
         /** Abandons the attempt as CANCELLED if its request has not been written completely. */
-        void giveUpUnlessSent() {
+        void abandonUnlessFullyWritten() {
             if (connection == null || !connection.fullyWritten) {
-                giveUp(Result.CANCELLED);
+                abandon(Result.CANCELLED);
             }
         }
 
         private void end(Result result, Answer answer) {
             if (!finished) {
                 finished = true;
-                caller.ended(result, answer);
+                owner.onResult(result, answer);
             }
         }
     }
@@ -204,7 +204,7 @@
     }
 
     /** Whether new requests may be sent to this server: it is listed and not draining. */
-    boolean admits(String serverId) {
+    boolean acceptsRequests(String serverId) {
         Server server = servers.get(serverId);
         return server != null && !server.removed && !server.draining;
     }
@@ -215,15 +215,15 @@
      */
     void update(ServerList list) {
         Set<String> listedIds = new HashSet<>();
-        for (ServerList.Target target : list.targets()) {
-            listedIds.add(target.id());
-            Server server = servers.computeIfAbsent(target.id(), id -> new Server());
-            boolean moved = server.address != null && !server.address.equals(target.address());
-            boolean restarted = target.bootMs() > server.bootMs;
-            server.address = target.address();
-            server.bootMs = target.bootMs();
-            server.removed = target.state() == ServerState.REMOVED;
-            server.draining = target.state() == ServerState.DRAINING;
+        for (ServerList.Entry entry : list.entries()) {
+            listedIds.add(entry.id());
+            Server server = servers.computeIfAbsent(entry.id(), id -> new Server());
+            boolean moved = server.address != null && !server.address.equals(entry.address());
+            boolean restarted = entry.bootMs() > server.bootMs;
+            server.address = entry.address();
+            server.bootMs = entry.bootMs();
+            server.removed = entry.state() == ServerState.REMOVED;
+            server.draining = entry.state() == ServerState.DRAINING;
             if (moved || restarted) {
                 server.generation++;
                 server.pendingConnects = 0;
@@ -239,7 +239,7 @@
                 }
             }
         }
-        if (list.all()) {
+        if (list.isFull()) {
             servers.forEach((id, server) -> server.removed |= !listedIds.contains(id));
         }
         servers.values().stream().filter(s -> s.removed).forEach(ServerPool::closeIdle);
@@ -252,10 +252,10 @@
      * Starts an attempt. Its result may be reported before this method returns: CONNECT_FAILED if the server
      * is unknown, NOT_SENT if it drains or the attempt is no longer wanted.
      */
-    Attempt start(String serverId, Caller caller) {
+    Attempt start(String serverId, AttemptOwner owner) {
         boolean mayWriteNow = mayWrite.getAsBoolean();
         Server server = servers.get(serverId);
-        Attempt attempt = new Attempt(server, caller);
+        Attempt attempt = new Attempt(server, owner);
         if (server == null) {
             attempt.end(Result.CONNECT_FAILED, null);
             return attempt;
@@ -265,7 +265,7 @@
             return attempt;
         }
         Connection connection = mayWriteNow ? takeIdle(server) : null;
-        if (connection != null && !caller.isWanted()) {
+        if (connection != null && !owner.isStillWanted()) {
             server.idle.push(connection);
             attempt.end(Result.NOT_SENT, null);
         } else if (connection != null) {
@@ -470,7 +470,7 @@
                 return;
             }
             Attempt next = mayWriteNow ? server.waiting.poll() : null;
-            while (next != null && !next.caller.isWanted()) {
+            while (next != null && !next.owner.isStillWanted()) {
                 next.end(Result.NOT_SENT, null);
                 next = server.waiting.poll();
             }
@@ -503,7 +503,7 @@
             fullyWritten = false;
             reader = new AnswerReader();
             // The write succeeds once the kernel has accepted the last byte; Netty never writes it twice.
-            channel.writeAndFlush(next.caller.message()).addListener(future -> {
+            channel.writeAndFlush(next.owner.createRequest()).addListener(future -> {
                 if (attempt != next) {
                     return;
                 }
--- a/src/main/java/cedarrelay/node/WarmUp.java
+++ b/src/main/java/cedarrelay/node/WarmUp.java
@@ -58,7 +58,7 @@
         endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs);
         String zone = nodeConfig.settings().zones.isEmpty() ? "" : nodeConfig.settings().zones.get(0);
         ServerList nodeAsServer = new ServerList(0, true, List.of(
-                new ServerList.Target("self", nodeAddress, zone, 0, ServerState.READY, 1, 0)));
+                new ServerList.Entry("self", nodeAddress, zone, 0, ServerState.READY, 1, 0)));
         config = new Config(nodeAddress, nodeAddress, 1, SOCKET_LIMIT, nodeConfig.connIdleUs(),
                 nodeConfig.settings(), nodeAsServer);
         warmUpNode = new Node(config, loop);
--- a/src/test/java/cedarrelay/node/DiscoveryTest.java
+++ b/src/test/java/cedarrelay/node/DiscoveryTest.java
@@ -63,36 +63,36 @@
     private Discovery subscribe(long idleTimeoutMs) throws Exception {
         EventLoop loop = group.next();
         Discovery discovery = new Discovery(loop, new InetSocketAddress("127.0.0.1", port), 41,
-                Math.min(idleTimeoutMs, Discovery.BEGUN_MS), idleTimeoutMs, this);
+                Math.min(idleTimeoutMs, Discovery.RESPONSE_TIMEOUT_MS), idleTimeoutMs, this);
         loop.submit(discovery::subscribe).get();
         return discovery;
     }
 
     private void assertFailsOnce() throws Exception {
-        FakePeer.soon(failures);
-        FakePeer.soon(peer.ended);
+        FakePeer.awaitNext(failures);
+        FakePeer.awaitNext(peer.closedConnections);
         group.next().submit(() -> { }).get();
         assertTrue(failures.isEmpty(), "failure reported twice");
     }
 
     @Test
     void messagesAreReportedAndANewWatchContinuesAtTheLastRevision() throws Exception {
-        String changes = Fixture.list(42, false, "Ready", peer);
-        String whole = Fixture.list(50, true, "Terminating", peer);
-        peer.script((socket, request) -> {
-            Fixture.beginWatch(socket);
-            Fixture.line(socket, "");
-            Fixture.line(socket, changes + "\n\n" + whole);
+        String changes = Fixture.listMessage(42, false, "Ready", peer);
+        String whole = Fixture.listMessage(50, true, "Terminating", peer);
+        peer.setScript((socket, request) -> {
+            Fixture.sendWatchHead(socket);
+            Fixture.sendLine(socket, "");
+            Fixture.sendLine(socket, changes + "\n\n" + whole);
         });
         Discovery discovery = subscribe(20_000);
-        assertEquals(ServerList.parse(changes), FakePeer.soon(lists));
-        assertEquals(ServerList.parse(whole), FakePeer.soon(lists));
+        assertEquals(ServerList.parse(changes), FakePeer.awaitNext(lists));
+        assertEquals(ServerList.parse(whole), FakePeer.awaitNext(lists));
         peer.nextRequest();
         // The new watch must not receive the same messages again: the revision would go back.
-        peer.script(FakePeer.SILENT);
+        peer.setScript(FakePeer.SILENT);
         group.next().submit(discovery::subscribe).get();
         assertTrue(peer.nextRequest().contains("&after=50 "), "requests changes after the last revision");
-        FakePeer.soon(peer.ended);
+        FakePeer.awaitNext(peer.closedConnections);
         assertTrue(failures.isEmpty(), "replacing a watch was reported as a failure");
     }
 
@@ -104,9 +104,9 @@
             + "'capacity_hint':1e999}]}",
         "{'rev':'x','all':false,'targets':[]}", "{'rev':1,'all':true,'targets':[null]}"})
     void aMalformedMessageEndsTheWatchAndIsNotApplied(String message) throws Exception {
-        peer.script((socket, request) -> {
-            Fixture.beginWatch(socket);
-            Fixture.line(socket, message.replace('\'', '"'));
+        peer.setScript((socket, request) -> {
+            Fixture.sendWatchHead(socket);
+            Fixture.sendLine(socket, message.replace('\'', '"'));
         });
         subscribe(20_000);
         assertFailsOnce();
@@ -115,27 +115,27 @@
 
     @Test
     void aMessageOverSeveralLinesIsApplied() throws Exception {
-        String list = Fixture.list(42, false, "Ready", peer);
+        String list = Fixture.listMessage(42, false, "Ready", peer);
         String indented = new GsonBuilder().setPrettyPrinting().create().toJson(JsonParser.parseString(list));
         assertTrue(indented.lines().count() > 5, indented);
-        peer.script((socket, request) -> {
-            Fixture.beginWatch(socket);
-            Fixture.line(socket, indented.replace("Ready", "Terminating") + "\n\n" + indented);
+        peer.setScript((socket, request) -> {
+            Fixture.sendWatchHead(socket);
+            Fixture.sendLine(socket, indented.replace("Ready", "Terminating") + "\n\n" + indented);
             for (String line : indented.split("\n")) {
-                Fixture.line(socket, line);
+                Fixture.sendLine(socket, line);
             }
         });
         subscribe(20_000);
-        assertEquals(ServerList.parse(list.replace("Ready", "Terminating")), FakePeer.soon(lists));
-        assertEquals(ServerList.parse(list), FakePeer.soon(lists));
-        assertEquals(ServerList.parse(list), FakePeer.soon(lists));
+        assertEquals(ServerList.parse(list.replace("Ready", "Terminating")), FakePeer.awaitNext(lists));
+        assertEquals(ServerList.parse(list), FakePeer.awaitNext(lists));
+        assertEquals(ServerList.parse(list), FakePeer.awaitNext(lists));
         assertTrue(failures.isEmpty(), failures::toString);
     }
 
     @Test
     void aTruncatedMessageEndsTheWatch() throws Exception {
-        peer.script((socket, request) -> {
-            Fixture.beginWatch(socket);
+        peer.setScript((socket, request) -> {
+            Fixture.sendWatchHead(socket);
             // A part of a message, and neither the rest nor the end of the line.
             FakePeer.write(socket, "a\r\n{\"rev\":42,\r\n");
         });
@@ -152,31 +152,31 @@
 
     @Test
     void aRevisionThatGoesBackIsNotAppliedAndTheFullListRequested() throws Exception {
-        String current = Fixture.list(50, true, "Ready", peer);
-        peer.script((socket, request) -> {
-            Fixture.beginWatch(socket);
-            Fixture.line(socket, current);
-            Fixture.line(socket, Fixture.list(49, false, "Terminating", peer));
+        String current = Fixture.listMessage(50, true, "Ready", peer);
+        peer.setScript((socket, request) -> {
+            Fixture.sendWatchHead(socket);
+            Fixture.sendLine(socket, current);
+            Fixture.sendLine(socket, Fixture.listMessage(49, false, "Terminating", peer));
         });
         Discovery discovery = subscribe(20_000);
-        assertEquals(ServerList.parse(current), FakePeer.soon(lists));
+        assertEquals(ServerList.parse(current), FakePeer.awaitNext(lists));
         assertFailsOnce();
         peer.nextRequest();
         // Without a revision in the request, discovery sends the current list.
-        String restored = Fixture.list(7, true, "Ready", peer);
-        peer.script((socket, request) -> {
-            Fixture.beginWatch(socket);
-            Fixture.line(socket, restored);
+        String restored = Fixture.listMessage(7, true, "Ready", peer);
+        peer.setScript((socket, request) -> {
+            Fixture.sendWatchHead(socket);
+            Fixture.sendLine(socket, restored);
         });
         group.next().submit(discovery::keepSubscribed).get();
         assertTrue(peer.nextRequest().startsWith("GET /v1/endpoints?watch=1 "));
-        assertEquals(ServerList.parse(restored), FakePeer.soon(lists));
+        assertEquals(ServerList.parse(restored), FakePeer.awaitNext(lists));
     }
 
     @Test
     void dataThatArrivesWhileTheEventLoopLagsPreventsATimeout() throws Exception {
         Discovery discovery = subscribe(LONGER_THAN_ANY_TEST_MS);
-        Socket watch = FakePeer.soon(peer.accepted);
+        Socket watch = FakePeer.awaitNext(peer.acceptedConnections);
         peer.nextRequest();
         EventLoop loop = group.next();
         CountDownLatch dataSent = new CountDownLatch(1);
@@ -184,15 +184,15 @@
             // Both timers are due when the event loop runs on: first this one sends data, then the timeout
             // expires.
             loop.schedule(() -> {
-                Fixture.beginWatch(watch);
-                Fixture.line(watch, Fixture.list(42, true, "Ready", peer));
+                Fixture.sendWatchHead(watch);
+                Fixture.sendLine(watch, Fixture.listMessage(42, true, "Ready", peer));
                 dataSent.countDown();
                 return null;
             }, 1, TimeUnit.MILLISECONDS);
             blockLoop(1_000);
         });
-        assertTrue(dataSent.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals(42, FakePeer.soon(lists).revision());
+        assertTrue(dataSent.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
+        assertEquals(42, FakePeer.awaitNext(lists).revision());
         loop.submit(() -> { }).get();
         assertTrue(failures.isEmpty(), failures::toString);
         loop.submit(discovery::close).get();
@@ -208,8 +208,8 @@
 
     @Test
     void aBrokenWatchIsReported() throws Exception {
-        peer.script((socket, request) -> {
-            Fixture.beginWatch(socket);
+        peer.setScript((socket, request) -> {
+            Fixture.sendWatchHead(socket);
             FakePeer.RESET.run(socket, request);
         });
         subscribe(20_000);
@@ -218,14 +218,14 @@
 
     @Test
     void anErrorResponseIsReported() throws Exception {
-        peer.script(FakePeer.answer("503 Later", "", "busy"));
+        peer.setScript(FakePeer.respond("503 Later", "", "busy"));
         subscribe(20_000);
         assertFailsOnce();
     }
 
     @Test
     void aSilentWatchIsReported() throws Exception {
-        peer.script((socket, request) -> Fixture.beginWatch(socket));
+        peer.setScript((socket, request) -> Fixture.sendWatchHead(socket));
         subscribe(200);
         assertFailsOnce();
     }
@@ -236,18 +236,18 @@
             port = unused.getLocalPort();
         }
         subscribe(20_000);
-        FakePeer.soon(failures);
+        FakePeer.awaitNext(failures);
     }
 
     @Test
     void heartbeatsKeepTheWatchOpen() throws Exception {
         subscribe(3_000);
-        Socket watch = FakePeer.soon(peer.accepted);
+        Socket watch = FakePeer.awaitNext(peer.acceptedConnections);
         peer.nextRequest();
-        Fixture.beginWatch(watch);
+        Fixture.sendWatchHead(watch);
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
         while (System.nanoTime() < deadlineNs) {
-            Fixture.line(watch, "");
+            Fixture.sendLine(watch, "");
             String failure = failures.poll(100, TimeUnit.MILLISECONDS);
             assertEquals(null, failure);
         }
--- a/src/test/java/cedarrelay/node/ToldInTimeTest.java
+++ b/src/test/java/cedarrelay/node/DrainNotificationDeadlineTest.java
@@ -27,7 +27,7 @@
  * request may be sent by the outdated list.
  */
 @Timeout(120)
-class ToldInTimeTest {
+class DrainNotificationDeadlineTest {
     private static final int NOTIFIED_AFTER_MS = 6_000;
     /** How long a node waits for discovery before it uses the known list. */
     private static final int STARTUP_WAIT_MS = 1_500;
@@ -38,11 +38,11 @@
     private enum Fault {
         RESET(FakePeer.RESET),
         ENDED(FakePeer.CLOSE),
-        UNAVAILABLE(FakePeer.answer("503 No", "", "")),
+        UNAVAILABLE(FakePeer.respond("503 No", "", "")),
         SILENT(FakePeer.SILENT),
-        SILENT_AFTER_HEAD((socket, call) -> Fixture.beginWatch(socket)),
+        SILENT_AFTER_HEAD((socket, call) -> Fixture.sendWatchHead(socket)),
         TRUNCATED((socket, call) -> {
-            Fixture.beginWatch(socket);
+            Fixture.sendWatchHead(socket);
             FakePeer.write(socket, "20\r\n{\"rev\":42,\"all\":false,\"targets\"");
         });
 
@@ -62,8 +62,8 @@
     void open() throws Exception {
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         discovery = new FakePeer(FakePeer.SILENT);
-        drainingServer = new FakePeer(FakePeer.answer("200 OK", "", "done"));
-        remainingServer = new FakePeer(FakePeer.answer("200 OK", "", "done"));
+        drainingServer = new FakePeer(FakePeer.respond("200 OK", "", "done"));
+        remainingServer = new FakePeer(FakePeer.respond("200 OK", "", "done"));
     }
 
     @AfterEach
@@ -77,7 +77,7 @@
     private int start(String mode, long startupWaitMs) throws Exception {
         JsonObject json = Fixture.config(discovery, drainingServer, remainingServer);
         json.getAsJsonObject("settings").addProperty("membershipMode", mode);
-        Config config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        Config config = Config.read(Map.of("LB_CONFIG", Fixture.writeConfig(json).toString()));
         EventLoop loop = group.next();
         Node node = loop.submit(() -> new Node(config, loop)).get();
         Channel channel = loop.submit(() -> node.start(group, 8, startupWaitMs, () -> { })).get().sync()
@@ -87,8 +87,8 @@
 
     /** Answers a call with the change of the list. */
     private void sendDrain(Socket watch, String call) throws IOException {
-        Fixture.beginWatch(watch);
-        Fixture.line(watch, Fixture.list(42, false, "Terminating", drainingServer));
+        Fixture.sendWatchHead(watch);
+        Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", drainingServer));
     }
 
     /**
@@ -100,11 +100,11 @@
         try (Socket client = new Socket("127.0.0.1", port)) {
             int sentElsewhere = 0;
             for (int i = 1; sentElsewhere < 20; i++) {
-                int before = drainingServer.requests.size();
+                int before = drainingServer.receivedRequests.size();
                 FakePeer.write(client, Fixture.request("GET", "/view", i, "", ""));
-                String answer = FakePeer.read(client);
+                String answer = FakePeer.readMessage(client);
                 assertTrue(answer != null && answer.startsWith("HTTP/1.1 200 "), answer);
-                sentElsewhere = drainingServer.requests.size() == before ? sentElsewhere + 1 : 0;
+                sentElsewhere = drainingServer.receivedRequests.size() == before ? sentElsewhere + 1 : 0;
                 long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - reachableNs);
                 assertTrue(tookMs < NOTIFIED_AFTER_MS, "sent to a draining server after " + tookMs + " ms");
                 if (sentElsewhere == 0) {
@@ -120,14 +120,14 @@
         "on_request,UNAVAILABLE", "on_request,SILENT", "on_request,SILENT_AFTER_HEAD",
         "on_request,TRUNCATED"})
     void sendsToADrainingServerStopInTimeAfterFailedCalls(String mode, Fault fault) throws Exception {
-        discovery.script(fault.script);
+        discovery.setScript(fault.script);
         int port = start(mode, 0);
         int failedCalls = fault == Fault.SILENT || fault == Fault.SILENT_AFTER_HEAD ? 1 : FAILED_CALLS;
         for (int i = 0; i < failedCalls; i++) {
             discovery.nextRequest();
         }
         // The last of these calls may still fail by the old script.
-        discovery.script(this::sendDrain);
+        discovery.setScript(this::sendDrain);
         assertSendsStopInTime(port);
     }
 
--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -55,7 +55,7 @@
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = group.next();
         discovery = new FakePeer(FakePeer.SILENT);
-        server = new FakePeer(FakePeer.answer("200 OK", "", "done"));
+        server = new FakePeer(FakePeer.respond("200 OK", "", "done"));
     }
 
     @AfterEach
@@ -68,11 +68,11 @@
     private int start(FakePeer... servers) throws Exception {
         FakePeer[] knownServers = servers.length == 0 ? new FakePeer[] {server} : servers;
         Config config = Config.read(
-                Map.of("LB_CONFIG", Fixture.write(Fixture.config(discovery, knownServers)).toString()));
+                Map.of("LB_CONFIG", Fixture.writeConfig(Fixture.config(discovery, knownServers)).toString()));
         node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch ready = new CountDownLatch(1);
         Channel channel = loop.submit(() -> node.start(group, 8, 0, ready::countDown)).get().sync().channel();
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "the node did not become ready");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "the node did not become ready");
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
@@ -89,7 +89,7 @@
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "timed out waiting for the latch");
+            assertTrue(latch.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "timed out waiting for the latch");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -104,7 +104,7 @@
 
     private static Socket connect(int port) throws Exception {
         Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         return socket;
     }
 
@@ -115,41 +115,41 @@
     @Test
     void aResponseReceivedBeforeTheTimeoutRunsIsUsed() throws Exception {
         CountDownLatch firstWritten = new CountDownLatch(1);
-        server.script((socket, request) -> {
+        server.setScript((socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
             firstWritten.countDown();
         });
         ServerPool pool = loop.submit(() ->
                 new ServerPool(loop, new Sockets(1_024), 2_000_000, 60_000_000, 0)).get();
-        loop.submit(() -> pool.update(ServerList.parse(Fixture.list(1, true, "Ready", server)))).get();
+        loop.submit(() -> pool.update(ServerList.parse(Fixture.listMessage(1, true, "Ready", server)))).get();
         LinkedBlockingQueue<Result> results = new LinkedBlockingQueue<>();
-        ServerPool.Caller caller = new ServerPool.Caller() {
+        ServerPool.AttemptOwner owner = new ServerPool.AttemptOwner() {
             @Override
-            public FullHttpRequest message() {
+            public FullHttpRequest createRequest() {
                 return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/x",
                         Unpooled.EMPTY_BUFFER);
             }
 
             @Override
-            public void ended(Result result, Answer response) {
+            public void onResult(Result result, Answer response) {
                 results.add(result);
             }
         };
         String id = "s-" + server.port();
-        loop.submit(() -> pool.start(id, caller)).get();
-        assertEquals(Result.OK, FakePeer.soon(results));
+        loop.submit(() -> pool.start(id, owner)).get();
+        assertEquals(Result.OK, FakePeer.awaitNext(results));
         // The second attempt reuses the connection; nothing is read before its timeout runs.
         CountDownLatch secondWritten = new CountDownLatch(1);
-        server.script((socket, request) -> {
+        server.setScript((socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
             secondWritten.countDown();
         });
         loop.submit(() -> {
-            ServerPool.Attempt attempt = pool.start(id, caller);
+            ServerPool.Attempt attempt = pool.start(id, owner);
             await(secondWritten);
-            attempt.giveUp(Result.TIMEOUT);
+            attempt.abandon(Result.TIMEOUT);
         }).get();
-        assertEquals(Result.OK, FakePeer.soon(results));
+        assertEquals(Result.OK, FakePeer.awaitNext(results));
         loop.submit(pool::close).get();
     }
 
@@ -160,24 +160,24 @@
         try (Socket keptClient = connect(port)) {
             // Both connections have been used, so both requests are read in the iteration after the block.
             FakePeer.write(keptClient, viewRequest(1));
-            FakePeer.read(keptClient);
+            FakePeer.readMessage(keptClient);
             server.nextRequest();
             try (Socket leavingClient = connect(port)) {
                 FakePeer.write(leavingClient, viewRequest(2));
-                FakePeer.read(leavingClient);
+                FakePeer.readMessage(leavingClient);
                 server.nextRequest();
                 blockLoop(disconnected, 0);
                 FakePeer.write(leavingClient, viewRequest(3));
             }
             disconnected.countDown();
             FakePeer.write(keptClient, viewRequest(4));
-            assertTrue(FakePeer.read(keptClient).startsWith("HTTP/1.1 200 "));
+            assertTrue(FakePeer.readMessage(keptClient).startsWith("HTTP/1.1 200 "));
             FakePeer.write(keptClient, viewRequest(5));
-            assertTrue(FakePeer.read(keptClient).startsWith("HTTP/1.1 200 "));
+            assertTrue(FakePeer.readMessage(keptClient).startsWith("HTTP/1.1 200 "));
         }
         assertEquals("0000000000000004", FakePeer.header(server.nextRequest(), "X-Txn"));
         assertEquals("0000000000000005", FakePeer.header(server.nextRequest(), "X-Txn"));
-        assertTrue(server.requests.isEmpty(), "a request was sent for a disconnected client");
+        assertTrue(server.receivedRequests.isEmpty(), "a request was sent for a disconnected client");
     }
 
     @ParameterizedTest
@@ -200,7 +200,7 @@
      */
     private void disconnectDuringFirstAttempt(String pipelined, boolean reset, CountDownLatch bothDone)
             throws Exception {
-        server.script(FakePeer.SILENT);
+        server.setScript(FakePeer.SILENT);
         try (FakePeer other = new FakePeer(FakePeer.SILENT)) {
             int port = start(server, other);
             Socket client = connect(port);
@@ -214,45 +214,47 @@
             } else {
                 disconnect(client, reset);
             }
-            FakePeer.write(failingServer.accepted.remove(), "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+            FakePeer.write(failingServer.acceptedConnections.remove(),
+                    "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
             if (bothDone.getCount() > 0) {
                 disconnect(client, reset);
                 bothDone.countDown();
             }
-            server.script(FakePeer.answer("200 OK", "", "done"));
-            other.script(FakePeer.answer("200 OK", "", "done"));
+            server.setScript(FakePeer.respond("200 OK", "", "done"));
+            other.setScript(FakePeer.respond("200 OK", "", "done"));
             // Requests of another client are sent later than a retry would be.
             try (Socket next = connect(port)) {
                 for (int i = 2; i < 12; i++) {
                     FakePeer.write(next, viewRequest(i));
-                    assertTrue(FakePeer.read(next).startsWith("HTTP/1.1 200 "));
+                    assertTrue(FakePeer.readMessage(next).startsWith("HTTP/1.1 200 "));
                 }
             }
-            assertTrue(untriedServer.requests.stream().noneMatch(r -> r.contains("X-Txn: 0000000000000001")),
+            assertTrue(untriedServer.receivedRequests.stream()
+                            .noneMatch(r -> r.contains("X-Txn: 0000000000000001")),
                     "a request was sent for a disconnected client");
         }
     }
 
     /** Waits for the first request and returns the server that received it. */
     private static FakePeer firstContacted(FakePeer one, FakePeer other) throws Exception {
-        while (one.accepted.isEmpty() && other.accepted.isEmpty()) {
+        while (one.acceptedConnections.isEmpty() && other.acceptedConnections.isEmpty()) {
             park(1);
         }
-        FakePeer contacted = one.accepted.isEmpty() ? other : one;
+        FakePeer contacted = one.acceptedConnections.isEmpty() ? other : one;
         contacted.nextRequest();
         return contacted;
     }
 
     @Test
     void aRetryWhoseConnectionIsEstablishedAfterItsWindowIsNotSent() throws Exception {
-        server.script(FakePeer.SILENT);
+        server.setScript(FakePeer.SILENT);
         try (FakePeer other = new FakePeer(FakePeer.SILENT)) {
             int port = start(server, other);
             try (Socket client = connect(port)) {
                 FakePeer.write(client,
                         Fixture.request("POST", "/photo/1", 1, "Idempotency-Key: k\r\n", ""));
                 FakePeer failingServer = firstContacted(server, other);
-                (failingServer == server ? other : server).script(FakePeer.answer("200 OK", "", "done"));
+                (failingServer == server ? other : server).setScript(FakePeer.respond("200 OK", "", "done"));
                 CountDownLatch blocked = new CountDownLatch(1);
                 CountDownLatch reset = new CountDownLatch(1);
                 loop.execute(() -> {
@@ -263,12 +265,12 @@
                 });
                 // If the node read the reset before its loop is blocked, it would connect too early.
                 await(blocked);
-                FakePeer.RESET.run(FakePeer.soon(failingServer.accepted), "");
+                FakePeer.RESET.run(FakePeer.awaitNext(failingServer.acceptedConnections), "");
                 reset.countDown();
-                String response = FakePeer.read(client);
+                String response = FakePeer.readMessage(client);
                 assertTrue(response.startsWith("HTTP/1.1 502 "), response);
             }
-            assertTrue(server.requests.isEmpty() && other.requests.isEmpty(),
+            assertTrue(server.receivedRequests.isEmpty() && other.receivedRequests.isEmpty(),
                     "a retry was sent after its window");
         }
     }
@@ -277,7 +279,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void queuedRequestsAreNotSentForClientsThatDisconnectedDuringLoopLag(boolean reset) throws Exception {
-        server.script(FakePeer.SILENT);
+        server.setScript(FakePeer.SILENT);
         int port = start();
         Map<String, Socket> clients = new HashMap<>();
         for (int i = 0; i < 40; i++) {
@@ -288,18 +290,18 @@
         // All requests have been accepted by the time that this one has its response.
         try (Socket last = connect(port)) {
             FakePeer.write(last, "GET /ready HTTP/1.1\r\n\r\n");
-            FakePeer.read(last);
+            FakePeer.readMessage(last);
         }
         List<Socket> attemptSockets = new ArrayList<>();
         for (String request = server.nextRequest(); request != null;
-                request = server.requests.poll(200, TimeUnit.MILLISECONDS)) {
+                request = server.receivedRequests.poll(200, TimeUnit.MILLISECONDS)) {
             clients.remove(FakePeer.header(request, "X-Txn"));
-            attemptSockets.add(FakePeer.soon(server.accepted));
+            attemptSockets.add(FakePeer.awaitNext(server.acceptedConnections));
         }
         assertTrue(clients.size() > 10, "too few requests are queued");
         CountDownLatch disconnected = new CountDownLatch(1);
         blockLoop(disconnected, 0);
-        server.script(FakePeer.answer("200 OK", "", "done"));
+        server.setScript(FakePeer.respond("200 OK", "", "done"));
         for (Socket socket : attemptSockets) {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
@@ -310,10 +312,11 @@
         try (Socket next = connect(port)) {
             for (int i = 100; i < 110; i++) {
                 FakePeer.write(next, viewRequest(i));
-                assertTrue(FakePeer.read(next).startsWith("HTTP/1.1 200 "));
+                assertTrue(FakePeer.readMessage(next).startsWith("HTTP/1.1 200 "));
             }
         }
-        assertTrue(server.requests.stream().noneMatch(r -> clients.containsKey(FakePeer.header(r, "X-Txn"))),
+        assertTrue(server.receivedRequests.stream()
+                        .noneMatch(r -> clients.containsKey(FakePeer.header(r, "X-Txn"))),
                 "a request was sent for a disconnected client");
     }
 
@@ -324,23 +327,24 @@
 
     @Test
     void anUnreadDrainIsAppliedBeforeTheNextSend() throws Exception {
-        try (FakePeer readyServer = new FakePeer(FakePeer.answer("200 OK", "", "done"))) {
+        try (FakePeer readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
             int port = start(server, readyServer);
             try (Socket client = connect(port)) {
                 // Requests are sent at once on a connection that is already open.
-                for (int i = 100; server.requests.isEmpty() || readyServer.requests.isEmpty(); i++) {
+                for (int i = 100; server.receivedRequests.isEmpty()
+                        || readyServer.receivedRequests.isEmpty(); i++) {
                     FakePeer.write(client, viewRequest(i));
-                    assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200 "));
+                    assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200 "));
                 }
             }
-            server.requests.clear();
-            readyServer.requests.clear();
+            server.receivedRequests.clear();
+            readyServer.receivedRequests.clear();
             discovery.nextRequest();
-            Socket watch = FakePeer.soon(discovery.accepted);
-            Fixture.beginWatch(watch);
+            Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
+            Fixture.sendWatchHead(watch);
             loop.submit(() -> {
                 park(BLOCK_MS);
-                Fixture.line(watch, Fixture.list(42, false, "Terminating", server));
+                Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", server));
                 // Requests accepted before the event loop reads its sockets.
                 for (int i = 0; i < 20; i++) {
                     EmbeddedChannel client = new EmbeddedChannel();
@@ -353,7 +357,7 @@
             for (int i = 0; i < 20; i++) {
                 readyServer.nextRequest();
             }
-            assertTrue(server.requests.isEmpty(), "a request was sent to a draining server");
+            assertTrue(server.receivedRequests.isEmpty(), "a request was sent to a draining server");
         }
     }
 
@@ -363,13 +367,13 @@
         int port = start();
         try (Socket client = connect(port); Socket other = connect(port)) {
             FakePeer.write(other, "GET /ready HTTP/1.1\r\n\r\n");
-            assertTrue(FakePeer.read(other).startsWith("HTTP/1.1 200 "));
+            assertTrue(FakePeer.readMessage(other).startsWith("HTTP/1.1 200 "));
             // Connections are accepted in order, so the first one is open by now.
             CountDownLatch written = new CountDownLatch(1);
             blockLoop(written, 2_100);
             FakePeer.write(client, Fixture.request("POST", "/slow", 1, "", "x".repeat(60_000)));
             written.countDown();
-            String response = FakePeer.read(client);
+            String response = FakePeer.readMessage(client);
             assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), response);
         }
     }
@@ -379,7 +383,7 @@
         int port = start();
         try (Socket keptClient = connect(port)) {
             FakePeer.write(keptClient, viewRequest(1));
-            FakePeer.read(keptClient);
+            FakePeer.readMessage(keptClient);
             List<Socket> newClients = new ArrayList<>();
             CountDownLatch done = new CountDownLatch(1);
             CountDownLatch requestsSent = new CountDownLatch(1);
@@ -398,10 +402,10 @@
                 park(1_000);
             });
             await(requestsSent);
-            String response = FakePeer.read(keptClient);
+            String response = FakePeer.readMessage(keptClient);
             assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), response);
             for (Socket socket : newClients) {
-                response = FakePeer.read(socket);
+                response = FakePeer.readMessage(socket);
                 assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), response);
                 socket.close();
             }
@@ -417,7 +421,7 @@
             blockLoop(requestSent, BLOCK_MS);
             FakePeer.write(client, viewRequest(1));
             requestSent.countDown();
-            FakePeer.read(client);
+            FakePeer.readMessage(client);
         }
         int remainingMs = Integer.parseInt(FakePeer.header(server.nextRequest(), "X-Remaining-Ms"));
         assertTrue(remainingMs <= Fixture.REMAINING_MS - BLOCK_MS + SLACK_MS,
@@ -444,7 +448,7 @@
         try (Socket client = connect(port)) {
             FakePeer.write(client, viewRequest(1));
             requestSent.countDown();
-            FakePeer.read(client);
+            FakePeer.readMessage(client);
         }
         int remainingMs = Integer.parseInt(FakePeer.header(server.nextRequest(), "X-Remaining-Ms"));
         assertTrue(remainingMs <= Fixture.REMAINING_MS - BLOCK_MS + SLACK_MS,
--- a/src/test/java/cedarrelay/node/FakePeer.java
+++ b/src/test/java/cedarrelay/node/FakePeer.java
@@ -17,7 +17,7 @@
 /** A fake server, or fake discovery, on a loopback socket: records requests and runs a script on each. */
 final class FakePeer implements Closeable {
     /** How long tests wait for something that must happen. */
-    static final long PATIENCE_S = 30;
+    static final long TIMEOUT_S = 30;
 
     /** The reaction to a request. */
     interface Script {
@@ -32,10 +32,10 @@
     };
     static final Script CLOSE = (socket, request) -> socket.close();
 
-    final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> receivedRequests = new LinkedBlockingQueue<>();
     /** Connections that have ended, whichever side closed them. */
-    final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
-    final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
+    final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
+    final BlockingQueue<Socket> acceptedConnections = new LinkedBlockingQueue<>();
     private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
     private final ServerSocket serverSocket;
     private volatile Script script;
@@ -52,20 +52,20 @@
             while (true) {
                 Socket socket = serverSocket.accept();
                 openSockets.add(socket);
-                accepted.add(socket);
+                acceptedConnections.add(socket);
                 startDaemon(() -> serve(socket));
             }
         });
     }
 
     /** Sends a response with these headers and this body; each header ends with CR LF. */
-    static Script answer(String status, String headers, String body) {
-        return raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length()
+    static Script respond(String status, String headers, String body) {
+        return respondRaw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length()
                 + "\r\n\r\n" + body);
     }
 
     /** Sends this text. */
-    static Script raw(String text) {
+    static Script respondRaw(String text) {
         return (socket, request) -> write(socket, text);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Replaces the script for later requests. */
-    void script(Script next) {
+    void setScript(Script next) {
         script = next;
     }
 
@@ -88,12 +88,12 @@
     }
 
     String nextRequest() throws InterruptedException {
-        return soon(requests);
+        return awaitNext(receivedRequests);
     }
 
-    /** Waits for the next element; fails the test after {@link #PATIENCE_S}. */
-    static <T> T soon(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
+    /** Waits for the next element; fails the test after {@link #TIMEOUT_S}. */
+    static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
+        T next = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("nothing received in time");
         }
@@ -102,17 +102,17 @@
 
     private void serve(Socket socket) throws IOException, InterruptedException {
         try {
-            for (String request = read(socket); request != null; request = read(socket)) {
-                requests.add(request);
+            for (String request = readMessage(socket); request != null; request = readMessage(socket)) {
+                receivedRequests.add(request);
                 script.run(socket, request);
             }
         } finally {
-            ended.add(socket);
+            closedConnections.add(socket);
         }
     }
 
     /** Reads one HTTP message with its body; returns null if the connection ends before its headers do. */
-    static String read(Socket socket) throws IOException {
+    static String readMessage(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
         while (text.indexOf("\r\n\r\n") < 0) {
--- a/src/test/java/cedarrelay/node/Fixture.java
+++ b/src/test/java/cedarrelay/node/Fixture.java
@@ -34,26 +34,26 @@
                   "limits":{"attemptsCap":4,"cancelling":true,"parallelTries":true,"retryAfter":true,
                    "maxRetryAfterUs":1000000,"dialTimeoutUs":2000000,"connIdleUs":60000000},
                   "rules":{"askWithinUs":10000000,"drainGraceUs":500000}}}
-                """.formatted(discovery.address(), list(41, true, "Ready", servers), CLASSES))
+                """.formatted(discovery.address(), listMessage(41, true, "Ready", servers), CLASSES))
                 .getAsJsonObject();
     }
 
     /** Writes a configuration to a temporary file, which is deleted when the JVM exits. */
-    static Path write(JsonObject json) throws IOException {
+    static Path writeConfig(JsonObject json) throws IOException {
         Path file = Files.createTempFile("node", ".json");
         file.toFile().deleteOnExit();
         return Files.writeString(file, json.toString());
     }
 
     /** A message of discovery with these servers, all in the given state. */
-    static String list(long revision, boolean all, String state, FakePeer... servers) {
-        StringBuilder targets = new StringBuilder();
+    static String listMessage(long revision, boolean isFull, String state, FakePeer... servers) {
+        StringBuilder entries = new StringBuilder();
         for (FakePeer server : servers) {
-            targets.append(targets.isEmpty() ? "" : ",").append("""
+            entries.append(entries.isEmpty() ? "" : ",").append("""
                     {"uid":"s-%d","endpoint":"%s","az":"a","model":"m","pod_group":3,"state":"%s",\
                     "capacity_hint":1.0,"boot_ms":0}""".formatted(server.port(), server.address(), state));
         }
-        return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":[" + targets + "]}";
+        return "{\"rev\":" + revision + ",\"all\":" + isFull + ",\"targets\":[" + entries + "]}";
     }
 
     /** The text of a client's request; each of the additional headers ends with CR LF. */
@@ -65,17 +65,17 @@
     }
 
     /** Sends the head of the response to a watch. */
-    static void beginWatch(Socket watch) throws IOException {
+    static void sendWatchHead(Socket watch) throws IOException {
         FakePeer.write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
     /** Sends a line as one chunk; an empty one is a heartbeat. */
-    static void line(Socket watch, String line) throws IOException {
-        piece(watch, line + "\n");
+    static void sendLine(Socket watch, String line) throws IOException {
+        sendChunk(watch, line + "\n");
     }
 
     /** Sends this text as one chunk; it may be a part of a message, or several messages. */
-    static void piece(Socket watch, String text) throws IOException {
+    static void sendChunk(Socket watch, String text) throws IOException {
         FakePeer.write(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 }
--- a/src/test/java/cedarrelay/node/MainTest.java
+++ b/src/test/java/cedarrelay/node/MainTest.java
@@ -41,7 +41,7 @@
     @BeforeEach
     void open() throws Exception {
         discovery = new FakePeer(FakePeer.SILENT);
-        server = new FakePeer(FakePeer.answer("200 OK", "", "done"));
+        server = new FakePeer(FakePeer.respond("200 OK", "", "done"));
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
@@ -59,7 +59,7 @@
     /** Starts a node after a shell command and waits until it is ready; returns its configuration file. */
     private Path start(JsonObject config, String shellPrefix) throws Exception {
         config.addProperty("listen", "127.0.0.1:" + port);
-        Path file = Fixture.write(config);
+        Path file = Fixture.writeConfig(config);
         run(file.toString(), shellPrefix);
         awaitOk("/ready");
         return file;
@@ -100,7 +100,7 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         return socket;
     }
 
@@ -113,7 +113,7 @@
                     "the node ended or was not ready in time");
             try (Socket socket = connect()) {
                 FakePeer.write(socket, "GET " + path + " HTTP/1.1\r\n\r\n");
-                response = FakePeer.read(socket);
+                response = FakePeer.readMessage(socket);
             } catch (IOException e) {
                 // Not listening yet: the starting process needs the CPU.
                 process.waitFor(20, TimeUnit.MILLISECONDS);
@@ -123,26 +123,26 @@
 
     @Test
     void sigtermAnswersPendingRequestsAndExitsWithZero() throws Exception {
-        server.script(FakePeer.SILENT);
+        server.setScript(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
         Socket idleClient = connect();
         Socket client = connect();
         FakePeer.write(client, Fixture.request("POST", "/order", 1, "", "x"));
         server.nextRequest();
-        Socket attempt = FakePeer.soon(server.accepted);
+        Socket attempt = FakePeer.awaitNext(server.acceptedConnections);
         process.destroy();
         // Clients keep connecting for a while after SIGTERM and must be served.
         Socket lateClient = connect();
         FakePeer.write(lateClient, "GET /nothing HTTP/1.1\r\n\r\n");
-        assertTrue(FakePeer.read(lateClient).startsWith("HTTP/1.1 404"),
+        assertTrue(FakePeer.readMessage(lateClient).startsWith("HTTP/1.1 404"),
                 "a client that connected after SIGTERM is not served");
-        assertNull(FakePeer.read(idleClient), "the idle connection is not closed");
+        assertNull(FakePeer.readMessage(idleClient), "the idle connection is not closed");
         assertTrue(process.isAlive(), "the process exited with a request pending");
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        String response = FakePeer.read(client);
+        String response = FakePeer.readMessage(client);
         assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("done"), response);
         assertEquals("close", FakePeer.header(response, "Connection"));
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS),
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS),
                 "the process did not exit after the last response");
         assertEquals(0, process.exitValue());
     }
@@ -150,13 +150,13 @@
     /** An operator must be able to see what the node did with each request, and why. */
     @Test
     void logAndMetricsShowTheOutcomeOfARequest() throws Exception {
-        server.script((socket, request) -> FakePeer.answer("200 OK", "", "done").run(socket, request));
+        server.setScript((socket, request) -> FakePeer.respond("200 OK", "", "done").run(socket, request));
         start(Fixture.config(discovery, server), "export LB_LOG=debug && ");
         try (Socket client = connect()) {
             FakePeer.write(client, Fixture.request("GET", "/view", 0xabc, "", ""));
-            assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
+            assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
             FakePeer.write(client, "GET /metrics HTTP/1.1\r\n\r\n");
-            String metrics = FakePeer.read(client);
+            String metrics = FakePeer.readMessage(client);
             assertTrue(metrics.contains("\ncedarrelay_requests_taken_total 1\n"), metrics);
             assertTrue(metrics.contains("\ncedarrelay_requests_served_total 1\n"), metrics);
             assertTrue(metrics.contains("\ncedarrelay_attempts_written_total 1\n"), metrics);
@@ -171,8 +171,8 @@
 
     @Test
     void unknownLogLevelEndsTheProcessWithOneLineOfError() throws Exception {
-        run(Fixture.write(Fixture.config(discovery, server)).toString(), "export LB_LOG=loud && ");
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        run(Fixture.writeConfig(Fixture.config(discovery, server)).toString(), "export LB_LOG=loud && ");
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
         String output = output();
         assertTrue(output.equals("cedarrelay: bad configuration: LB_LOG is not debug, info, warning or error:"
@@ -181,20 +181,20 @@
 
     @Test
     void sigtermWaitsForARequestWithALongDeadline() throws Exception {
-        server.script(FakePeer.SILENT);
+        server.setScript(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
         Socket client = connect();
         FakePeer.write(client, Fixture.request("POST", "/slow", 1, "", "x"));
         server.nextRequest();
-        Socket attempt = FakePeer.soon(server.accepted);
+        Socket attempt = FakePeer.awaitNext(server.acceptedConnections);
         process.destroy();
         // SIGKILL may follow after 3.7 s; until then a client with a longer deadline is still owed a
         // response.
         assertFalse(process.waitFor(5, TimeUnit.SECONDS), "the process exited with a request pending");
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        String response = FakePeer.read(client);
+        String response = FakePeer.readMessage(client);
         assertTrue(response != null && response.endsWith("done"), response);
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS),
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS),
                 "the process did not exit after the last response");
         assertEquals(0, process.exitValue());
     }
@@ -213,15 +213,15 @@
             sendSighup();
             assertTrue(newDiscovery.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
                     "the new watch names a list revision of the old discovery address");
-            FakePeer.soon(discovery.ended);
+            FakePeer.awaitNext(discovery.closedConnections);
             config.addProperty("discovery", discovery.address());
             Files.writeString(file, config.toString());
             sendSighup();
             discovery.nextRequest();
-            FakePeer.soon(newDiscovery.ended);
+            FakePeer.awaitNext(newDiscovery.closedConnections);
             try (Socket client = connect()) {
                 FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
-                assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
+                assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
             }
         }
     }
@@ -250,7 +250,7 @@
         // Unlike in a deployment with one open jar, loading classes takes descriptors here: load them first.
         try (Socket firstClient = connect()) {
             FakePeer.write(firstClient, Fixture.request("GET", "/view", 0, "", ""));
-            assertTrue(FakePeer.read(firstClient).startsWith("HTTP/1.1 200"),
+            assertTrue(FakePeer.readMessage(firstClient).startsWith("HTTP/1.1 200"),
                     "not served before descriptors run out");
         }
         List<Socket> clients = new ArrayList<>();
@@ -260,7 +260,7 @@
         // Idle connections are closed to make room, so each request gets a response; pending requests stay.
         Socket activeClient = clients.get(clients.size() - 1);
         FakePeer.write(activeClient, Fixture.request("GET", "/view", 1, "", ""));
-        String response = FakePeer.read(activeClient);
+        String response = FakePeer.readMessage(activeClient);
         assertTrue(response != null && response.startsWith("HTTP/1.1 "),
                 () -> response + " while descriptors are short: " + output());
         // Logging must not need a descriptor either.
@@ -272,7 +272,7 @@
         }
         try (Socket lastClient = connect()) {
             FakePeer.write(lastClient, Fixture.request("GET", "/view", 2, "", ""));
-            assertTrue(FakePeer.read(lastClient).startsWith("HTTP/1.1 200"),
+            assertTrue(FakePeer.readMessage(lastClient).startsWith("HTTP/1.1 200"),
                     "not served after the clients have closed");
         }
     }
@@ -287,22 +287,22 @@
         config.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
         start(config, "ulimit -n 128 && ");
         List<Socket> idleClients = new ArrayList<>();
-        try (FakePeer newServer = new FakePeer(FakePeer.answer("200 OK", "", "fresh"))) {
+        try (FakePeer newServer = new FakePeer(FakePeer.respond("200 OK", "", "fresh"))) {
             for (int i = 0; i < 300; i++) {
                 idleClients.add(connect());
                 if (i % 2 == 0) {
                     FakePeer.write(idleClients.get(i), Fixture.request("GET", "/view", i, "", ""));
                 }
             }
-            discovery.script((watch, request) -> {
-                Fixture.beginWatch(watch);
-                Fixture.line(watch, Fixture.list(42, true, "Ready", newServer));
+            discovery.setScript((watch, request) -> {
+                Fixture.sendWatchHead(watch);
+                Fixture.sendLine(watch, Fixture.listMessage(42, true, "Ready", newServer));
             });
             long discoveryBackNs = System.nanoTime();
-            for (int i = 1_000; newServer.requests.isEmpty(); i++) {
+            for (int i = 1_000; newServer.receivedRequests.isEmpty(); i++) {
                 try (Socket activeClient = connect()) {
                     FakePeer.write(activeClient, Fixture.request("GET", "/view", i, "", ""));
-                    String response = FakePeer.read(activeClient);
+                    String response = FakePeer.readMessage(activeClient);
                     assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
                 }
                 assertTrue(System.nanoTime() - discoveryBackNs < TimeUnit.SECONDS.toNanos(6),
@@ -326,12 +326,13 @@
 
     /** A full server list whose entries all have the address of the peer. */
     private static JsonObject listOfManyServers(FakePeer peer, String prefix) {
-        JsonObject list = JsonParser.parseString(Fixture.list(43, true, "Ready", peer)).getAsJsonObject();
+        JsonObject list = JsonParser.parseString(Fixture.listMessage(43, true, "Ready", peer))
+                .getAsJsonObject();
         JsonObject first = list.getAsJsonArray("targets").get(0).getAsJsonObject();
         for (int index = 1; index < SERVER_COUNT; index++) {
-            JsonObject target = first.deepCopy();
-            target.addProperty("uid", prefix + index);
-            list.getAsJsonArray("targets").add(target);
+            JsonObject entry = first.deepCopy();
+            entry.addProperty("uid", prefix + index);
+            list.getAsJsonArray("targets").add(entry);
         }
         return list;
     }
@@ -343,25 +344,25 @@
         config.add("known", listOfManyServers(server, "known-"));
         config.addProperty("listen", "127.0.0.1:" + port);
         config.getAsJsonObject("settings").addProperty("balancers", SERVER_COUNT);
-        Path file = Files.writeString(Fixture.write(config), indented.toJson(config));
-        try (FakePeer newServer = new FakePeer(FakePeer.answer("200 OK", "", "fresh"))) {
+        Path file = Files.writeString(Fixture.writeConfig(config), indented.toJson(config));
+        try (FakePeer newServer = new FakePeer(FakePeer.respond("200 OK", "", "fresh"))) {
             run(file.toString(), "", deployedHeapOptions());
             discovery.nextRequest();
             awaitOk("/ready");
             try (Socket client = connect()) {
                 FakePeer.write(client, Fixture.request("GET", "/view", 0, "", ""));
-                assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
-                assertFalse(server.requests.isEmpty(), "the known list is not in use");
-                Socket watch = FakePeer.soon(discovery.accepted);
-                Fixture.beginWatch(watch);
+                assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
+                assertFalse(server.receivedRequests.isEmpty(), "the known list is not in use");
+                Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
+                Fixture.sendWatchHead(watch);
                 String list = indented.toJson(listOfManyServers(newServer, "fresh-"));
                 for (int from = 0; from < list.length(); from += 1_000) {
-                    Fixture.piece(watch, list.substring(from, Math.min(list.length(), from + 1_000)));
+                    Fixture.sendChunk(watch, list.substring(from, Math.min(list.length(), from + 1_000)));
                 }
-                long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
-                for (int i = 1; newServer.requests.isEmpty(); i++) {
+                long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
+                for (int i = 1; newServer.receivedRequests.isEmpty(); i++) {
                     FakePeer.write(client, Fixture.request("GET", "/view", i, "", ""));
-                    assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
+                    assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
                     assertTrue(System.nanoTime() - deadlineNs < 0, "the list from discovery is not in use");
                 }
             }
@@ -372,7 +373,7 @@
 
     @Test
     void manyLargeConcurrentRequestsDoNotExhaustTheHeap() throws Exception {
-        server.script(FakePeer.SILENT);
+        server.setScript(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
@@ -414,10 +415,10 @@
         assertRejected(null, "LB_CONFIG");
         assertRejected("/nowhere/config.json", "LB_CONFIG");
         assertRejected(broken.toString(), "JSON");
-        assertRejected(Fixture.write(noSettings).toString(), "settings");
-        assertRejected(Fixture.write(noSeed).toString(), "seed");
-        assertRejected(Fixture.write(noClasses).toString(), "classes");
-        assertRejected(Fixture.write(badRepeat).toString(), "classes.0.repeat is unknown: perhaps");
+        assertRejected(Fixture.writeConfig(noSettings).toString(), "settings");
+        assertRejected(Fixture.writeConfig(noSeed).toString(), "seed");
+        assertRejected(Fixture.writeConfig(noClasses).toString(), "classes");
+        assertRejected(Fixture.writeConfig(badRepeat).toString(), "classes.0.repeat is unknown: perhaps");
         Files.delete(broken);
     }
 
@@ -425,7 +426,7 @@
     private void assertRejected(String config, String expected) throws Exception {
         run(config, "");
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "the process did not exit");
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "the process did not exit");
         assertEquals(2, process.exitValue(), output);
         assertTrue(output.contains(expected) && output.lines().count() == 1, output);
     }
--- a/src/test/java/cedarrelay/node/NodeProcess.java
+++ b/src/test/java/cedarrelay/node/NodeProcess.java
@@ -30,7 +30,7 @@
                 "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", classPath, "cedarrelay.node.Main");
         builder.environment().keySet().removeIf(name -> name.startsWith("LB_"));
         builder.environment().putAll(environment);
-        builder.environment().put("LB_CONFIG", Fixture.write(config).toString());
+        builder.environment().put("LB_CONFIG", Fixture.writeConfig(config).toString());
         process = builder.redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
     }
@@ -44,7 +44,7 @@
     /** Opens a client connection whose reads time out. */
     Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         return socket;
     }
 
@@ -81,7 +81,7 @@
     private String get(String path) throws IOException {
         try (Socket socket = connect()) {
             FakePeer.write(socket, "GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
-            String response = FakePeer.read(socket);
+            String response = FakePeer.readMessage(socket);
             if (response == null) {
                 throw new IOException("the node closed the connection without a response");
             }
--- a/src/test/java/cedarrelay/node/NodeTest.java
+++ b/src/test/java/cedarrelay/node/NodeTest.java
@@ -29,7 +29,7 @@
 /** Tests a whole node with fake clients, servers and discovery, over loopback sockets. */
 @Timeout(120)
 class NodeTest {
-    private static final FakePeer.Script OK_RESPONSE = FakePeer.answer("200 OK", "", "done");
+    private static final FakePeer.Script OK_RESPONSE = FakePeer.respond("200 OK", "", "done");
 
     private EventLoopGroup group;
     private FakePeer discovery;
@@ -59,14 +59,14 @@
     private int start(JsonObject json) throws Exception {
         CountDownLatch ready = new CountDownLatch(1);
         int port = start(json, 0, ready);
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "node did not become ready");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "node did not become ready");
         return port;
     }
 
     /** Starts a node that uses its known list after {@code startMs} without a response of discovery. */
     private int start(JsonObject json, long startMs, CountDownLatch ready) throws Exception {
         EventLoop loop = group.next();
-        Config config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        Config config = Config.read(Map.of("LB_CONFIG", Fixture.writeConfig(json).toString()));
         Node node = loop.submit(() -> new Node(config, loop)).get();
         Channel channel = loop.submit(() -> node.start(group, 8, startMs, ready::countDown)).get().sync()
                 .channel();
@@ -79,13 +79,13 @@
 
     private static Socket connect(int port) throws Exception {
         Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         return socket;
     }
 
     private String roundTrip(String request) throws Exception {
         FakePeer.write(client, request);
-        return FakePeer.read(client);
+        return FakePeer.readMessage(client);
     }
 
     private static int status(String response) {
@@ -109,7 +109,7 @@
         int remainingMs = Integer.parseInt(FakePeer.header(sent, "X-Remaining-Ms"));
         assertTrue(remainingMs > 0 && remainingMs <= Fixture.REMAINING_MS,
                 "X-Remaining-Ms is " + remainingMs);
-        assertTrue(firstServer.requests.isEmpty());
+        assertTrue(firstServer.receivedRequests.isEmpty());
         assertEquals(200, status(roundTrip("GET /ready HTTP/1.1\r\n\r\n")));
     }
 
@@ -121,12 +121,12 @@
                 new SplittableRandom(Long.parseUnsignedLong(json.get("seed").getAsString(), 16)).nextLong());
         String header = WarmUp.TOKEN_HEADER + ": " + token + "\r\n";
         assertTrue(roundTrip(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
-        assertTrue(firstServer.requests.isEmpty(), "sent to a server");
+        assertTrue(firstServer.receivedRequests.isEmpty(), "sent to a server");
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        firstServer.script((socket, request) -> {
+        firstServer.setScript((socket, request) -> {
             String path = request.split(" ")[1];
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + path.length() + "\r\n\r\n" + path);
         });
@@ -137,7 +137,7 @@
         }
         FakePeer.write(client, all.toString());
         for (int i = 0; i < 40; i++) {
-            String response = FakePeer.read(client);
+            String response = FakePeer.readMessage(client);
             assertTrue(response.endsWith("\r\n\r\n/view/" + i), response);
         }
     }
@@ -145,43 +145,44 @@
     @Test
     void thousandsOfPipelinedRequestsAreAllAnswered() throws Exception {
         int requestCount = 3_000;
-        firstServer.script(FakePeer.SILENT);
+        firstServer.setScript(FakePeer.SILENT);
         start(firstServer);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", "")
                 + "GET /ready HTTP/1.1\r\n\r\n".repeat(requestCount));
         firstServer.nextRequest();
-        FakePeer.write(FakePeer.soon(firstServer.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(200, status(FakePeer.read(client)));
+        FakePeer.write(FakePeer.awaitNext(firstServer.acceptedConnections),
+                "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(200, status(FakePeer.readMessage(client)));
         for (int i = 0; i < requestCount; i++) {
-            assertEquals(200, status(FakePeer.read(client)));
+            assertEquals(200, status(FakePeer.readMessage(client)));
         }
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsNeitherRetriedNorRefused() throws Exception {
-        firstServer.script(FakePeer.RESET);
-        secondServer.script(FakePeer.RESET);
+        firstServer.setScript(FakePeer.RESET);
+        secondServer.setScript(FakePeer.RESET);
         start(firstServer, secondServer);
         int status = status(roundTrip(Fixture.request("POST", "/order", 1, "", "")));
         assertTrue(status >= 500 && status != 503, "answered " + status);
         // A node sends a retry before it responds: after one more round trip the count is final.
         assertEquals(200, status(roundTrip("GET /ready HTTP/1.1\r\n\r\n")));
-        assertEquals(1, firstServer.requests.size() + secondServer.requests.size());
+        assertEquals(1, firstServer.receivedRequests.size() + secondServer.receivedRequests.size());
     }
 
     @Test
     void aSafeRequestFailsOverAfterAServerError() throws Exception {
-        firstServer.script(FakePeer.answer("500 No", "", ""));
+        firstServer.setScript(FakePeer.respond("500 No", "", ""));
         start(firstServer, secondServer);
         for (int i = 0; i < 8; i++) {
             assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
         }
-        assertFalse(secondServer.requests.isEmpty());
+        assertFalse(secondServer.receivedRequests.isEmpty());
     }
 
     @Test
     void aRefusalCarriesRetryAfter() throws Exception {
-        firstServer.script(FakePeer.answer("503 Full", "X-Turned-Away: 1\r\n", ""));
+        firstServer.setScript(FakePeer.respond("503 Full", "X-Turned-Away: 1\r\n", ""));
         start(firstServer);
         String response = roundTrip(Fixture.request("POST", "/order", 1, "", ""));
         assertEquals(503, status(response));
@@ -190,7 +191,7 @@
 
     @Test
     void aSilentServersRequestFailsAtTheDeadlineAndItsConnectionIsClosed() throws Exception {
-        firstServer.script(FakePeer.SILENT);
+        firstServer.setScript(FakePeer.SILENT);
         start(firstServer);
         long startNs = System.nanoTime();
         int status = status(roundTrip(Fixture.request("POST", "/slow", 1, "", "")
@@ -198,32 +199,32 @@
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         assertTrue(status >= 500 && status != 503, "answered " + status);
         assertTrue(tookMs >= 600, "failed after only " + tookMs + " ms");
-        FakePeer.soon(firstServer.ended);
-        assertEquals(1, firstServer.requests.size());
+        FakePeer.awaitNext(firstServer.closedConnections);
+        assertEquals(1, firstServer.receivedRequests.size());
     }
 
     @Test
     void aClientsDisconnectAbortsItsAttempt() throws Exception {
-        firstServer.script(FakePeer.SILENT);
+        firstServer.setScript(FakePeer.SILENT);
         start(firstServer);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
         firstServer.nextRequest();
         client.close();
-        FakePeer.soon(firstServer.ended);
-        assertTrue(firstServer.requests.isEmpty(), "retried for a disconnected client");
+        FakePeer.awaitNext(firstServer.closedConnections);
+        assertTrue(firstServer.receivedRequests.isEmpty(), "retried for a disconnected client");
     }
 
     /** The node can't tell a half-close from a close, and no client of the protocol half-closes. */
     @Test
     void aHalfClosedClientCountsAsDisconnected() throws Exception {
-        firstServer.script(FakePeer.SILENT);
+        firstServer.setScript(FakePeer.SILENT);
         start(firstServer);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
         firstServer.nextRequest();
         client.shutdownOutput();
-        FakePeer.soon(firstServer.ended);
-        assertNull(FakePeer.read(client), "response to a disconnected client");
-        assertTrue(firstServer.requests.isEmpty(), "retried for a disconnected client");
+        FakePeer.awaitNext(firstServer.closedConnections);
+        assertNull(FakePeer.readMessage(client), "response to a disconnected client");
+        assertTrue(firstServer.receivedRequests.isEmpty(), "retried for a disconnected client");
     }
 
     @Test
@@ -231,10 +232,10 @@
         start(firstServer);
         for (int i = 0; i < 5; i++) {
             assertEquals(200, status(roundTrip(Fixture.request("POST", "/order", i, "", ""))));
-            FakePeer.soon(firstServer.accepted).close();
-            FakePeer.soon(firstServer.ended);
+            FakePeer.awaitNext(firstServer.acceptedConnections).close();
+            FakePeer.awaitNext(firstServer.closedConnections);
         }
-        assertEquals(5, firstServer.requests.size());
+        assertEquals(5, firstServer.receivedRequests.size());
     }
 
     @Test
@@ -242,18 +243,19 @@
         start(firstServer, secondServer);
         String watchRequest = discovery.nextRequest();
         assertTrue(watchRequest.startsWith("GET /v1/endpoints?watch=1&after=41 "), watchRequest);
-        Socket watch = FakePeer.soon(discovery.accepted);
+        Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
         assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", 0, "", ""))));
-        Fixture.beginWatch(watch);
-        Fixture.line(watch, Fixture.list(42, false, "Terminating", firstServer));
-        Fixture.line(watch, Fixture.list(43, false, "Ready", secondServer));
+        Fixture.sendWatchHead(watch);
+        Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", firstServer));
+        Fixture.sendLine(watch, Fixture.listMessage(43, false, "Ready", secondServer));
         // Twenty requests in a row that go elsewhere show that the node has applied the update.
-        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         int consecutiveElsewhere = 0;
         for (int i = 1; consecutiveElsewhere < 20; i++) {
-            int before = firstServer.requests.size();
+            int before = firstServer.receivedRequests.size();
             assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
-            consecutiveElsewhere = firstServer.requests.size() == before ? consecutiveElsewhere + 1 : 0;
+            consecutiveElsewhere = firstServer.receivedRequests.size() == before
+                    ? consecutiveElsewhere + 1 : 0;
             assertTrue(System.nanoTime() < deadlineNs, "the draining server still gets requests");
         }
         // After the watch breaks, it is opened again from the last revision received.
@@ -266,7 +268,7 @@
         start(firstServer);
         discovery.nextRequest();
         // Discovery may take more than a second for such a call, so it must not be repeated within that time.
-        assertNull(discovery.requests.poll(1, TimeUnit.SECONDS), "watch opened again");
+        assertNull(discovery.receivedRequests.poll(1, TimeUnit.SECONDS), "watch opened again");
         try (FakePeer pushingDiscovery = new FakePeer(FakePeer.SILENT)) {
             JsonObject json = Fixture.config(pushingDiscovery, firstServer);
             json.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
@@ -320,7 +322,7 @@
         }
         client = connect(port);
         assertEquals(200, status(roundTrip(good)));
-        assertEquals(1, firstServer.requests.size());
+        assertEquals(1, firstServer.receivedRequests.size());
     }
 
     /** A request of the class "order" with the given headers for the length of its body. */
@@ -336,8 +338,8 @@
                 + "\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden));
         assertEquals(400, status(response));
         assertEquals("close", FakePeer.header(response, "Connection"));
-        assertNull(FakePeer.read(client), "the connection is still open");
-        assertTrue(firstServer.requests.isEmpty());
+        assertNull(FakePeer.readMessage(client), "the connection is still open");
+        assertTrue(firstServer.receivedRequests.isEmpty());
     }
 
     @Test
@@ -350,7 +352,7 @@
             assertEquals(404, status(response));
             responses++;
             if ("close".equals(FakePeer.header(response, "Connection"))) {
-                assertNull(FakePeer.read(client));
+                assertNull(FakePeer.readMessage(client));
                 assertTrue(responses > 1, "closed after one bad request");
                 return;
             }
@@ -365,9 +367,9 @@
             client = connect(port);
             FakePeer.write(half, "GET /view HTTP/1.1\r\nX-Txn: ");
             FakePeer.write(client, order("Content-Length: 10\r\n", "half"));
-            assertNull(FakePeer.read(silent));
-            assertEquals(408, status(FakePeer.read(half)));
-            assertEquals(408, status(FakePeer.read(client)));
+            assertNull(FakePeer.readMessage(silent));
+            assertEquals(408, status(FakePeer.readMessage(half)));
+            assertEquals(408, status(FakePeer.readMessage(client)));
         }
     }
 
@@ -384,9 +386,9 @@
         for (int i = 0; i < 20; i++) {
             silent.add(connect(port));
         }
-        assertNull(FakePeer.read(silent.get(0)));
+        assertNull(FakePeer.readMessage(silent.get(0)));
         FakePeer.write(client, request.substring(30));
-        assertEquals(200, status(FakePeer.read(client)));
+        assertEquals(200, status(FakePeer.readMessage(client)));
         for (Socket socket : silent) {
             socket.close();
         }
@@ -420,7 +422,7 @@
         }
         requestsSent.countDown();
         for (Socket socket : newSockets) {
-            assertEquals(200, status(FakePeer.read(socket)));
+            assertEquals(200, status(FakePeer.readMessage(socket)));
         }
         all.addAll(newSockets);
         for (Socket socket : all) {
@@ -440,7 +442,7 @@
             all.add(client);
             assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
         }
-        assertNull(FakePeer.read(all.get(0)), "the oldest idle connection is still open");
+        assertNull(FakePeer.readMessage(all.get(0)), "the oldest idle connection is still open");
         assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", 99, "", ""))));
         for (Socket socket : all) {
             socket.close();
@@ -468,7 +470,7 @@
 
     @Test
     void theIdOfAPendingRequestIsRejected() throws Exception {
-        firstServer.script(FakePeer.SILENT);
+        firstServer.setScript(FakePeer.SILENT);
         int port = start(Fixture.config(discovery, firstServer));
         try (Socket other = connect(port)) {
             FakePeer.write(other, Fixture.request("POST", "/order", 1, "", ""));
@@ -476,7 +478,7 @@
             client = connect(port);
             assertEquals(409, status(roundTrip(Fixture.request("POST", "/order", 1, "", ""))));
         }
-        assertTrue(firstServer.requests.isEmpty());
+        assertTrue(firstServer.receivedRequests.isEmpty());
     }
 
     @Test
@@ -486,7 +488,7 @@
         // Stands for another client's copy of the request that arrives just after the response.
         assertEquals(409, status(roundTrip(Fixture.request("POST", "/order", 1, "", ""))));
         assertEquals(200, status(roundTrip(Fixture.request("POST", "/order", 2, "", ""))));
-        assertEquals(2, firstServer.requests.size());
+        assertEquals(2, firstServer.receivedRequests.size());
     }
 
     @Test
@@ -500,7 +502,7 @@
             all.add(client);
             assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", i, "", ""))));
         }
-        assertNull(FakePeer.read(all.get(0)), "the oldest idle connection is still open");
+        assertNull(FakePeer.readMessage(all.get(0)), "the oldest idle connection is still open");
         for (Socket socket : all) {
             socket.close();
         }
@@ -510,23 +512,23 @@
     void nothingIsSentByTheKnownListBeforeDiscoveryResponds() throws Exception {
         CountDownLatch ready = new CountDownLatch(1);
         int port = start(Fixture.config(discovery, firstServer),
-                TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S), ready);
+                TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S), ready);
         client = connect(port);
         FakePeer.write(client, Fixture.request("POST", "/order", 1, "", "x"));
         assertTrue(discovery.nextRequest().contains("&after=41 "));
-        Socket watch = FakePeer.soon(discovery.accepted);
+        Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
         try (Socket readinessClient = connect(port)) {
             FakePeer.write(readinessClient, "GET /ready HTTP/1.1\r\n\r\n");
-            assertEquals(503, status(FakePeer.read(readinessClient)),
+            assertEquals(503, status(FakePeer.readMessage(readinessClient)),
                     "ready before the list is confirmed current");
         }
-        Fixture.beginWatch(watch);
-        Fixture.line(watch, Fixture.list(42, false, "Terminating", firstServer));
-        Fixture.line(watch, Fixture.list(43, false, "Ready", secondServer));
-        assertEquals(200, status(FakePeer.read(client)));
+        Fixture.sendWatchHead(watch);
+        Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", firstServer));
+        Fixture.sendLine(watch, Fixture.listMessage(43, false, "Ready", secondServer));
+        assertEquals(200, status(FakePeer.readMessage(client)));
         secondServer.nextRequest();
-        assertTrue(firstServer.requests.isEmpty(), "sent to a server that drained before the start");
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "node did not become ready");
-        assertTrue(discovery.requests.isEmpty(), "watch opened twice");
+        assertTrue(firstServer.receivedRequests.isEmpty(), "sent to a server that drained before the start");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "node did not become ready");
+        assertTrue(discovery.receivedRequests.isEmpty(), "watch opened twice");
     }
 }
--- a/src/test/java/cedarrelay/node/PausedProcessTest.java
+++ b/src/test/java/cedarrelay/node/PausedProcessTest.java
@@ -48,8 +48,8 @@
     @BeforeEach
     void open() throws Exception {
         discovery = new FakePeer(FakePeer.SILENT);
-        drainingServer = new FakePeer(FakePeer.answer("200 OK", "", "done"));
-        readyServer = new FakePeer(FakePeer.answer("200 OK", "", "done"));
+        drainingServer = new FakePeer(FakePeer.respond("200 OK", "", "done"));
+        readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"));
     }
 
     @AfterEach
@@ -68,9 +68,9 @@
         settings.addProperty("membershipMode", "pushed");
         settings.getAsJsonObject("limits").addProperty("dialTimeoutUs", 20_000_000);
         CountDownLatch called = new CountDownLatch(1);
-        discovery.script((socket, call) -> {
-            Fixture.beginWatch(socket);
-            Fixture.line(socket, initialList);
+        discovery.setScript((socket, call) -> {
+            Fixture.sendWatchHead(socket);
+            Fixture.sendLine(socket, initialList);
             called.countDown();
         });
         Path log = Files.createTempFile("node", ".log");
@@ -78,13 +78,13 @@
         node = new NodeProcess(config, NodeProcess.freePort(), log, Map.of());
         node.awaitReady();
         called.await();
-        return FakePeer.soon(discovery.accepted);
+        return FakePeer.awaitNext(discovery.acceptedConnections);
     }
 
     /** The list changes sent while the process is paused: one server drains and another joins. */
     private String drainAndJoin() {
-        return Fixture.list(43, false, "Ready", readyServer) + "\n"
-                + Fixture.list(44, false, "Terminating", drainingServer);
+        return Fixture.listMessage(43, false, "Ready", readyServer) + "\n"
+                + Fixture.listMessage(44, false, "Terminating", drainingServer);
     }
 
     /** A server with a full accept queue: connections are established when the kernel retries after 1 s. */
@@ -93,7 +93,7 @@
         private final List<Socket> fillers = new ArrayList<>();
 
         SlowToConnectServer() throws IOException {
-            listening.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+            listening.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
             boolean queueFull = false;
             while (!queueFull) {
                 Socket filler = new Socket();
@@ -134,8 +134,8 @@
         }
     }
 
-    private static String message(int revision, boolean all, String... entries) {
-        return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":["
+    private static String message(int revision, boolean isFull, String... entries) {
+        return "{\"rev\":" + revision + ",\"all\":" + isFull + ",\"targets\":["
                 + String.join(",", entries) + "]}";
     }
 
@@ -167,13 +167,13 @@
             node.signal("STOP");
             try (Socket drainingConnection = slowServer.acceptNext()) {
                 if (afterLongMessage) {
-                    Fixture.line(watch, longMessage(43));
+                    Fixture.sendLine(watch, longMessage(43));
                 }
-                Fixture.line(watch, message(44, false, slowServer.entry("Terminating")) + "\n"
-                        + Fixture.list(45, false, "Ready", readyServer));
+                Fixture.sendLine(watch, message(44, false, slowServer.entry("Terminating")) + "\n"
+                        + Fixture.listMessage(45, false, "Ready", readyServer));
                 TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
                 node.signal("CONT");
-                String response = FakePeer.read(client);
+                String response = FakePeer.readMessage(client);
                 assertEquals(0, drainingConnection.getInputStream().available(),
                         "a request was sent to a draining server");
                 assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
@@ -187,13 +187,13 @@
         JsonObject config = Fixture.config(discovery, drainingServer);
         config.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
         AtomicLong firstCallNs = new AtomicLong();
-        discovery.script((socket, call) -> {
+        discovery.setScript((socket, call) -> {
             firstCallNs.compareAndSet(0, System.nanoTime());
             if (System.nanoTime() - firstCallNs.get() < TimeUnit.MILLISECONDS.toNanos(CALLS_FAIL_MS)) {
                 FakePeer.RESET.run(socket, call);
             } else {
-                Fixture.beginWatch(socket);
-                Fixture.line(socket, drainAndJoin());
+                Fixture.sendWatchHead(socket);
+                Fixture.sendLine(socket, drainAndJoin());
             }
         });
         Path log = Files.createTempFile("node", ".log");
@@ -202,8 +202,8 @@
         node.awaitReady();
         try (Socket client = node.connect()) {
             FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
-            String response = FakePeer.read(client);
-            assertTrue(drainingServer.requests.isEmpty(), "a request was sent to a draining server");
+            String response = FakePeer.readMessage(client);
+            assertTrue(drainingServer.receivedRequests.isEmpty(), "a request was sent to a draining server");
             assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
         }
     }
@@ -211,22 +211,22 @@
     /** The watch breaks while the process is paused: the changes that it missed count as notified too. */
     @Test
     void aRequestReceivedWhileTheWatchIsBrokenWaitsForTheList() throws Exception {
-        Socket watch = startNode(Fixture.list(42, true, "Ready", drainingServer));
+        Socket watch = startNode(Fixture.listMessage(42, true, "Ready", drainingServer));
         Socket client = node.connect();
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
-        assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
-        drainingServer.requests.clear();
-        discovery.script((socket, call) -> {
-            Fixture.beginWatch(socket);
-            Fixture.line(socket, drainAndJoin());
+        assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
+        drainingServer.receivedRequests.clear();
+        discovery.setScript((socket, call) -> {
+            Fixture.sendWatchHead(socket);
+            Fixture.sendLine(socket, drainAndJoin());
         });
         node.signal("STOP");
         FakePeer.RESET.run(watch, "");
         FakePeer.write(client, Fixture.request("GET", "/view", 2, "", ""));
         TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
         node.signal("CONT");
-        String response = FakePeer.read(client);
-        assertTrue(drainingServer.requests.isEmpty(), "a request was sent to a draining server");
+        String response = FakePeer.readMessage(client);
+        assertTrue(drainingServer.receivedRequests.isEmpty(), "a request was sent to a draining server");
         assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
     }
 }
--- a/src/test/java/cedarrelay/node/ServerPoolTest.java
+++ b/src/test/java/cedarrelay/node/ServerPoolTest.java
@@ -49,16 +49,16 @@
     private record Report(Result result, Answer answer) { }
 
     /** Sends a request with a body of zeros, and records what is reported. */
-    private static class RecordingCaller implements ServerPool.Caller {
+    private static class RecordingOwner implements ServerPool.AttemptOwner {
         final BlockingQueue<Report> reports = new LinkedBlockingQueue<>();
         private final int bodySize;
 
-        RecordingCaller(int bodySize) {
+        RecordingOwner(int bodySize) {
             this.bodySize = bodySize;
         }
 
         @Override
-        public FullHttpRequest message() {
+        public FullHttpRequest createRequest() {
             FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/x",
                     Unpooled.wrappedBuffer(new byte[bodySize]));
             message.headers().set("Content-Length", bodySize);
@@ -66,12 +66,12 @@
         }
 
         @Override
-        public void ended(Result result, Answer answer) {
+        public void onResult(Result result, Answer answer) {
             reports.add(new Report(result, answer));
         }
 
         Report report() throws InterruptedException {
-            return FakePeer.soon(reports);
+            return FakePeer.awaitNext(reports);
         }
     }
 
@@ -79,7 +79,7 @@
     void open() throws Exception {
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = group.next();
-        server = new FakePeer(FakePeer.answer("200 OK", "", "hello"));
+        server = new FakePeer(FakePeer.respond("200 OK", "", "hello"));
     }
 
     @AfterEach
@@ -108,42 +108,44 @@
         loop.submit(() -> pool.update(list)).get();
     }
 
-    private ServerPool.Attempt start(ServerPool pool, RecordingCaller caller) throws Exception {
-        return loop.submit(() -> pool.start("s", caller)).get();
+    private ServerPool.Attempt start(ServerPool pool, RecordingOwner owner) throws Exception {
+        return loop.submit(() -> pool.start("s", owner)).get();
     }
 
     /** Sends a request to the server, which runs the script; checks that there is only one report. */
     private Report outcome(FakePeer.Script script) throws Exception {
-        server.script(script);
-        RecordingCaller caller = new RecordingCaller(10);
-        start(pool(server.address(), IDLE_TIMEOUT_US), caller);
-        Report report = caller.report();
+        server.setScript(script);
+        RecordingOwner owner = new RecordingOwner(10);
+        start(pool(server.address(), IDLE_TIMEOUT_US), owner);
+        Report report = owner.report();
         loop.submit(() -> { }).get();
-        assertTrue(caller.reports.isEmpty(), "reported twice");
+        assertTrue(owner.reports.isEmpty(), "reported twice");
         return report;
     }
 
     @Test
     void aCompleteResponseIsReportedUnchanged() throws Exception {
-        Report report = outcome(FakePeer.answer("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
+        Report report = outcome(FakePeer.respond("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
         assertEquals(Result.OK, report.result());
         assertArrayEquals("h\u00e9llo".getBytes(StandardCharsets.ISO_8859_1), report.answer().body());
         assertEquals("text/x", report.answer().contentType());
-        assertEquals(Result.OK, outcome(FakePeer.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        assertEquals(Result.OK, outcome(FakePeer.respondRaw(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + "2\r\nab\r\n0\r\n\r\n")).result());
-        assertEquals(Result.OK, outcome(FakePeer.raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n"
+        assertEquals(Result.OK, outcome(FakePeer.respondRaw(
+                "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n"
                 + "Content-Length: 0\r\n\r\n")).result());
     }
 
     @Test
     void overloadRejectionsAreDistinguishedFromOtherErrors() throws Exception {
-        assertEquals(Result.ERROR, outcome(FakePeer.answer("500 No", "", "")).result());
-        assertEquals(Result.ERROR, outcome(FakePeer.answer("503 No", "", "")).result());
-        assertEquals(Result.ERROR, outcome(FakePeer.answer("500 No", "X-Turned-Away: 1\r\n", "")).result());
+        assertEquals(Result.ERROR, outcome(FakePeer.respond("500 No", "", "")).result());
+        assertEquals(Result.ERROR, outcome(FakePeer.respond("503 No", "", "")).result());
+        assertEquals(Result.ERROR, outcome(FakePeer.respond("500 No", "X-Turned-Away: 1\r\n", "")).result());
         assertEquals(Result.REJECTED,
-                outcome(FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "")).result());
+                outcome(FakePeer.respond("503 No", "X-Turned-Away: 1\r\n", "")).result());
         assertEquals(Result.REJECTED,
-                outcome(FakePeer.answer("504 No", "X-Turned-Away: 1\r\n", "")).result());
+                outcome(FakePeer.respond("504 No", "X-Turned-Away: 1\r\n", "")).result());
     }
 
     @Test
@@ -159,7 +161,7 @@
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\n\r\nmaybe half");
             socket.close();
         }).result());
-        assertEquals(Result.RESET, outcome(FakePeer.raw("HELLO THERE\r\n\r\n")).result());
+        assertEquals(Result.RESET, outcome(FakePeer.respondRaw("HELLO THERE\r\n\r\n")).result());
     }
 
     /** Without a length only the orderly close of the connection could end the response, not a reset. */
@@ -187,26 +189,26 @@
         "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno", "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nno",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"})
     void aMalformedResponseIsReportedAsReset(String malformed) throws Exception {
-        assertEquals(Result.RESET, outcome(FakePeer.raw(malformed)).result());
-        FakePeer.soon(server.ended);
+        assertEquals(Result.RESET, outcome(FakePeer.respondRaw(malformed)).result());
+        FakePeer.awaitNext(server.closedConnections);
     }
 
     @Test
     void endlessHeadersEndTheAttempt() throws Exception {
-        assertEquals(Result.RESET, outcome(FakePeer.raw("HTTP/1.1 200 OK\r\n"
+        assertEquals(Result.RESET, outcome(FakePeer.respondRaw("HTTP/1.1 200 OK\r\n"
                 + "X-Pad: pppppppppppppppp\r\n".repeat(1_000))).result());
-        assertEquals(Result.RESET, outcome(FakePeer.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(100)
+        assertEquals(Result.RESET, outcome(FakePeer.respondRaw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(100)
                 + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")).result());
     }
 
     @Test
     void aDuplicateResponseIsNotUsedForTheNextRequest() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-        RecordingCaller first = new RecordingCaller(10);
+        RecordingOwner first = new RecordingOwner(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
-        Socket idle = FakePeer.soon(server.accepted);
-        RecordingCaller second = new RecordingCaller(10);
+        Socket idle = FakePeer.awaitNext(server.acceptedConnections);
+        RecordingOwner second = new RecordingOwner(10);
         loop.submit(() -> {
             // The event loop is busy here, so the response stays in the kernel's buffer until start() is
             // called.
@@ -219,16 +221,16 @@
     @Test
     void aLateDuplicateResponseArrivesDuringTheQuarantine() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US, TimeUnit.SECONDS.toMicros(1));
-        RecordingCaller first = new RecordingCaller(10);
+        RecordingOwner first = new RecordingOwner(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
-        Socket resting = FakePeer.soon(server.accepted);
+        Socket resting = FakePeer.awaitNext(server.acceptedConnections);
         server.nextRequest();
-        RecordingCaller second = new RecordingCaller(11);
+        RecordingOwner second = new RecordingOwner(11);
         start(pool, second);
-        assertTrue(server.requests.isEmpty(), "sent on a connection in quarantine");
+        assertTrue(server.receivedRequests.isEmpty(), "sent on a connection in quarantine");
         FakePeer.write(resting, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
-        assertSame(resting, FakePeer.soon(server.ended));
+        assertSame(resting, FakePeer.awaitNext(server.closedConnections));
         // The attempt that waited for this connection gets another one.
         assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
@@ -237,7 +239,7 @@
     @Test
     void aConnectionCarriesTheNextWaitingAttemptAfterItsQuarantine() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US, 50_000);
-        RecordingCaller[] callers = {new RecordingCaller(1), new RecordingCaller(2), new RecordingCaller(3)};
+        RecordingOwner[] callers = {new RecordingOwner(1), new RecordingOwner(2), new RecordingOwner(3)};
         start(pool, callers[0]);
         assertEquals(Result.OK, callers[0].report().result());
         loop.submit(() -> {
@@ -246,43 +248,44 @@
         }).get();
         assertEquals(Result.OK, callers[1].report().result());
         assertEquals(Result.OK, callers[2].report().result());
-        FakePeer.soon(server.accepted);
-        FakePeer.soon(server.accepted);
-        assertTrue(server.accepted.isEmpty(), "opened a connection although one in quarantine was available");
+        FakePeer.awaitNext(server.acceptedConnections);
+        FakePeer.awaitNext(server.acceptedConnections);
+        assertTrue(server.acceptedConnections.isEmpty(),
+                "opened a connection although one in quarantine was available");
     }
 
     @Test
     void aConnectionEstablishedAfterItsServerDrainsCarriesNothing() throws Exception {
         for (String state : List.of("Terminating", "Gone")) {
             ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-            RecordingCaller caller = new RecordingCaller(10);
+            RecordingOwner owner = new RecordingOwner(10);
             ServerList list = ServerList.parse("{\"rev\":2,\"all\":false,\"targets\":[{\"uid\":\"s\","
                     + "\"endpoint\":\"" + server.address() + "\",\"state\":\"" + state + "\"}]}");
             loop.submit(() -> {
                 // The connect has begun, and the event loop can't process its end before the list.
-                pool.start("s", caller);
+                pool.start("s", owner);
                 pool.update(list);
             }).get();
-            assertEquals(Result.NOT_SENT, caller.report().result());
+            assertEquals(Result.NOT_SENT, owner.report().result());
             applyList(pool, server.address(), 0);
-            RecordingCaller next = new RecordingCaller(11);
+            RecordingOwner next = new RecordingOwner(11);
             start(pool, next);
             assertEquals(Result.OK, next.report().result());
             assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
         }
-        assertTrue(server.requests.isEmpty());
+        assertTrue(server.receivedRequests.isEmpty());
     }
 
     @Test
     void anAttemptNoLongerWantedWhenItsConnectionIsEstablishedIsNotSent() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-        RecordingCaller unwanted = new RecordingCaller(10) {
+        RecordingOwner unwanted = new RecordingOwner(10) {
             @Override
-            public boolean isWanted() {
+            public boolean isStillWanted() {
                 return false;
             }
         };
-        RecordingCaller next = new RecordingCaller(11);
+        RecordingOwner next = new RecordingOwner(11);
         loop.submit(() -> {
             pool.start("s", unwanted);
             return pool.start("s", next);
@@ -290,7 +293,7 @@
         assertEquals(Result.NOT_SENT, unwanted.report().result());
         assertEquals(Result.OK, next.report().result());
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
-        assertTrue(server.requests.isEmpty());
+        assertTrue(server.receivedRequests.isEmpty());
     }
 
     @Test
@@ -299,9 +302,9 @@
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
         }
-        RecordingCaller caller = new RecordingCaller(10);
-        start(pool("127.0.0.1:" + port, IDLE_TIMEOUT_US), caller);
-        assertEquals(Result.CONNECT_FAILED, caller.report().result());
+        RecordingOwner owner = new RecordingOwner(10);
+        start(pool("127.0.0.1:" + port, IDLE_TIMEOUT_US), owner);
+        assertEquals(Result.CONNECT_FAILED, owner.report().result());
     }
 
     @Test
@@ -311,7 +314,7 @@
 
     @Test
     void anAttemptThatTimesOutWhileConnectingIsReportedAsConnectFailed() throws Exception {
-        assertHangingConnectFails(attempt -> loop.execute(() -> attempt.giveUp(Result.TIMEOUT)));
+        assertHangingConnectFails(attempt -> loop.execute(() -> attempt.abandon(Result.TIMEOUT)));
     }
 
     private void assertHangingConnectFails(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
@@ -327,9 +330,9 @@
                     break;
                 }
             }
-            RecordingCaller caller = new RecordingCaller(10);
-            meanwhile.accept(start(pool("127.0.0.1:" + full.getLocalPort(), IDLE_TIMEOUT_US), caller));
-            assertEquals(Result.CONNECT_FAILED, caller.report().result());
+            RecordingOwner owner = new RecordingOwner(10);
+            meanwhile.accept(start(pool("127.0.0.1:" + full.getLocalPort(), IDLE_TIMEOUT_US), owner));
+            assertEquals(Result.CONNECT_FAILED, owner.report().result());
             for (Socket socket : queued) {
                 socket.close();
             }
@@ -341,45 +344,45 @@
     void aConnectionClosedAsSoonAsEstablishedIsReportedAsConnectFailed(boolean reset) throws Exception {
         try (ServerSocket closing = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             ServerPool pool = pool("127.0.0.1:" + closing.getLocalPort(), IDLE_TIMEOUT_US);
-            RecordingCaller caller = new RecordingCaller(10);
+            RecordingOwner owner = new RecordingOwner(10);
             CountDownLatch ended = new CountDownLatch(1);
             loop.execute(() -> {
-                pool.start("s", caller);
+                pool.start("s", owner);
                 // Blocks the event loop, so that it learns of the connection's start and end at the same
                 // time.
-                loop.submit(() -> ended.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+                loop.submit(() -> ended.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
             });
             Socket accepted = closing.accept();
             accepted.setSoLinger(reset, 0);
             accepted.close();
             ended.countDown();
-            assertEquals(Result.CONNECT_FAILED, caller.report().result());
+            assertEquals(Result.CONNECT_FAILED, owner.report().result());
         }
     }
 
     @Test
     void aConnectionThatBreaksBeforeTheLastByteWasWrittenIsReportedAsConnectFailed() throws Exception {
         try (ServerSocket nonReadingServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            RecordingCaller caller = new RecordingCaller(64 << 20);
-            start(pool("127.0.0.1:" + nonReadingServer.getLocalPort(), IDLE_TIMEOUT_US), caller);
+            RecordingOwner owner = new RecordingOwner(64 << 20);
+            start(pool("127.0.0.1:" + nonReadingServer.getLocalPort(), IDLE_TIMEOUT_US), owner);
             Socket accepted = nonReadingServer.accept();
             accepted.getInputStream().read();
             accepted.setSoLinger(true, 0);
             accepted.close();
-            assertEquals(Result.CONNECT_FAILED, caller.report().result());
+            assertEquals(Result.CONNECT_FAILED, owner.report().result());
         }
     }
 
     @Test
     void aPartlyWrittenRequestIsCutOffAndReportedAsConnectFailed() throws Exception {
         try (ServerSocket nonReadingServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            RecordingCaller caller = new RecordingCaller(64 << 20);
+            RecordingOwner owner = new RecordingOwner(64 << 20);
             ServerPool.Attempt attempt = start(
-                    pool("127.0.0.1:" + nonReadingServer.getLocalPort(), IDLE_TIMEOUT_US), caller);
+                    pool("127.0.0.1:" + nonReadingServer.getLocalPort(), IDLE_TIMEOUT_US), owner);
             Socket accepted = nonReadingServer.accept();
             accepted.getInputStream().read();
-            loop.submit(attempt::giveUpUnlessSent).get();
-            assertEquals(Result.CONNECT_FAILED, caller.report().result());
+            loop.submit(attempt::abandonUnlessFullyWritten).get();
+            assertEquals(Result.CONNECT_FAILED, owner.report().result());
             assertTrue(accepted.getInputStream().transferTo(OutputStream.nullOutputStream()) < 64 << 20,
                     "the whole request was written");
         }
@@ -387,30 +390,31 @@
 
     @Test
     void aCompletelyWrittenRequestIsNotAbandoned() throws Exception {
-        server.script(FakePeer.SILENT);
-        RecordingCaller caller = new RecordingCaller(10);
-        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_TIMEOUT_US), caller);
+        server.setScript(FakePeer.SILENT);
+        RecordingOwner owner = new RecordingOwner(10);
+        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_TIMEOUT_US), owner);
         server.nextRequest();
-        loop.submit(attempt::giveUpUnlessSent).get();
-        FakePeer.write(FakePeer.soon(server.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(Result.OK, caller.report().result());
+        loop.submit(attempt::abandonUnlessFullyWritten).get();
+        FakePeer.write(FakePeer.awaitNext(server.acceptedConnections),
+                "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(Result.OK, owner.report().result());
     }
 
     @Test
     void anAbandonedAttemptClosesItsConnection() throws Exception {
-        server.script(FakePeer.SILENT);
-        RecordingCaller caller = new RecordingCaller(10);
-        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_TIMEOUT_US), caller);
+        server.setScript(FakePeer.SILENT);
+        RecordingOwner owner = new RecordingOwner(10);
+        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_TIMEOUT_US), owner);
         server.nextRequest();
-        loop.submit(() -> attempt.giveUp(Result.TIMEOUT)).get();
-        assertEquals(Result.TIMEOUT, caller.report().result());
-        FakePeer.soon(server.ended);
+        loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
+        assertEquals(Result.TIMEOUT, owner.report().result());
+        FakePeer.awaitNext(server.closedConnections);
     }
 
     @Test
     void aTimeoutOfAnUnresponsiveServerClosesItsIdleConnections() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-        RecordingCaller[] callers = {new RecordingCaller(1), new RecordingCaller(2)};
+        RecordingOwner[] callers = {new RecordingOwner(1), new RecordingOwner(2)};
         // In one task of the event loop: if the first were answered in between, its connection would be
         // reused.
         loop.submit(() -> {
@@ -419,56 +423,56 @@
         }).get();
         assertEquals(Result.OK, callers[0].report().result());
         assertEquals(Result.OK, callers[1].report().result());
-        server.script(FakePeer.SILENT);
-        RecordingCaller silent = new RecordingCaller(3);
+        server.setScript(FakePeer.SILENT);
+        RecordingOwner silent = new RecordingOwner(3);
         ServerPool.Attempt attempt = start(pool, silent);
-        loop.submit(() -> attempt.giveUp(Result.TIMEOUT)).get();
+        loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, silent.report().result());
-        FakePeer.soon(server.ended);
-        FakePeer.soon(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
+        FakePeer.awaitNext(server.closedConnections);
     }
 
     @Test
     void anAttemptAbandonedWhileConnectingIsNeverSent() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-        RecordingCaller caller = new RecordingCaller(10);
-        loop.submit(() -> pool.start("s", caller).giveUp(Result.CANCELLED)).get();
-        assertEquals(Result.NOT_SENT, caller.report().result());
+        RecordingOwner owner = new RecordingOwner(10);
+        loop.submit(() -> pool.start("s", owner).abandon(Result.CANCELLED)).get();
+        assertEquals(Result.NOT_SENT, owner.report().result());
         // Once established, its connection carries the next attempt: the only request that the server
         // receives.
-        FakePeer.soon(server.accepted);
-        RecordingCaller next = new RecordingCaller(11);
+        FakePeer.awaitNext(server.acceptedConnections);
+        RecordingOwner next = new RecordingOwner(11);
         start(pool, next);
         assertEquals(Result.OK, next.report().result());
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
-        assertTrue(server.requests.isEmpty());
+        assertTrue(server.receivedRequests.isEmpty());
     }
 
     @Test
     void theMostRecentlyUsedConnectionIsReusedFirst() throws Exception {
         BlockingQueue<Socket> used = new LinkedBlockingQueue<>();
-        server.script((socket, request) -> used.add(socket));
+        server.setScript((socket, request) -> used.add(socket));
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-        RecordingCaller first = new RecordingCaller(1);
-        RecordingCaller second = new RecordingCaller(2);
+        RecordingOwner first = new RecordingOwner(1);
+        RecordingOwner second = new RecordingOwner(2);
         start(pool, first);
         start(pool, second);
-        Socket a = FakePeer.soon(used);
-        Socket b = FakePeer.soon(used);
+        Socket a = FakePeer.awaitNext(used);
+        Socket b = FakePeer.awaitNext(used);
         FakePeer.write(a, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.soon(first.reports.isEmpty() && second.reports.isEmpty() ? awaitEither(first, second)
+        FakePeer.awaitNext(first.reports.isEmpty() && second.reports.isEmpty() ? awaitEither(first, second)
                 : first.reports.isEmpty() ? second.reports : first.reports);
         FakePeer.write(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.soon(awaitEither(first, second));
-        RecordingCaller third = new RecordingCaller(3);
+        FakePeer.awaitNext(awaitEither(first, second));
+        RecordingOwner third = new RecordingOwner(3);
         start(pool, third);
-        assertSame(b, FakePeer.soon(used));
+        assertSame(b, FakePeer.awaitNext(used));
     }
 
     /** Waits until one of the callers has a report, and returns the queue that holds it. */
-    private static BlockingQueue<Report> awaitEither(RecordingCaller a, RecordingCaller b)
+    private static BlockingQueue<Report> awaitEither(RecordingOwner a, RecordingOwner b)
             throws InterruptedException {
-        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < deadlineNs) {
             Report report = a.reports.poll(1, TimeUnit.MILLISECONDS);
             if (report != null) {
@@ -483,43 +487,43 @@
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
         String wrong = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
         for (String unsolicited : Arrays.asList(null, wrong, "HTT")) {
-            RecordingCaller first = new RecordingCaller(10);
+            RecordingOwner first = new RecordingOwner(10);
             start(pool, first);
             assertEquals(Result.OK, first.report().result());
-            Socket idle = FakePeer.soon(server.accepted);
+            Socket idle = FakePeer.awaitNext(server.acceptedConnections);
             if (unsolicited == null) {
                 idle.close();
             } else {
                 FakePeer.write(idle, unsolicited);
             }
-            assertSame(idle, FakePeer.soon(server.ended));
-            RecordingCaller second = new RecordingCaller(10);
+            assertSame(idle, FakePeer.awaitNext(server.closedConnections));
+            RecordingOwner second = new RecordingOwner(10);
             start(pool, second);
             assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
-            FakePeer.soon(server.accepted).close();
-            FakePeer.soon(server.ended);
+            FakePeer.awaitNext(server.acceptedConnections).close();
+            FakePeer.awaitNext(server.closedConnections);
         }
     }
 
     @Test
     void anIdleConnectionIsClosedBeforeTheServerWouldCloseIt() throws Exception {
-        RecordingCaller caller = new RecordingCaller(10);
-        start(pool(server.address(), 100_000), caller);
-        assertEquals(Result.OK, caller.report().result());
+        RecordingOwner owner = new RecordingOwner(10);
+        start(pool(server.address(), 100_000), owner);
+        assertEquals(Result.OK, owner.report().result());
         // The fake server never closes a connection, so the pool has closed it.
-        FakePeer.soon(server.ended);
+        FakePeer.awaitNext(server.closedConnections);
     }
 
     @Test
     void attemptsGoToTheNewAddressOfAServerThatMoved() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-        RecordingCaller first = new RecordingCaller(10);
+        RecordingOwner first = new RecordingOwner(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
-        try (FakePeer moved = new FakePeer(FakePeer.answer("200 OK", "", "moved"))) {
+        try (FakePeer moved = new FakePeer(FakePeer.respond("200 OK", "", "moved"))) {
             applyList(pool, moved.address(), 0);
-            FakePeer.soon(server.ended);
-            RecordingCaller second = new RecordingCaller(10);
+            FakePeer.awaitNext(server.closedConnections);
+            RecordingOwner second = new RecordingOwner(10);
             start(pool, second);
             assertEquals("moved", new String(second.report().answer().body(), StandardCharsets.UTF_8));
         }
--- a/src/test/java/cedarrelay/node/SoakClient.java
+++ b/src/test/java/cedarrelay/node/SoakClient.java
@@ -91,7 +91,7 @@
                 return;
             }
             socket.setSoTimeout(remainingMs + RESPONSE_MARGIN_MS);
-            String response = FakePeer.read(socket);
+            String response = FakePeer.readMessage(socket);
             if (response == null) {
                 recordMissingResponse(id, terminationsBefore, "closed");
             } else {
--- a/src/test/java/cedarrelay/node/SoakDiscovery.java
+++ b/src/test/java/cedarrelay/node/SoakDiscovery.java
@@ -44,15 +44,15 @@
         if (silent) {
             return;
         }
-        Fixture.beginWatch(socket);
+        Fixture.sendWatchHead(socket);
         // A full list need not contain draining servers.
-        Fixture.line(socket, message(true, String.join(",", entriesById.values().stream()
+        Fixture.sendLine(socket, message(true, String.join(",", entriesById.values().stream()
                 .filter(e -> e.contains("Ready")).toList())));
         watches.add(socket);
     }
 
-    private String message(boolean all, String entries) {
-        return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":[" + entries + "]}";
+    private String message(boolean isFull, String entries) {
+        return "{\"rev\":" + revision + ",\"all\":" + isFull + ",\"targets\":[" + entries + "]}";
     }
 
     /** Sends a change of a server, or notes it for later while silent. */
@@ -81,7 +81,7 @@
 
     private void write(Socket watch, String line) {
         try {
-            Fixture.line(watch, line);
+            Fixture.sendLine(watch, line);
         } catch (IOException e) {
             watches.remove(watch);
         }
@@ -126,7 +126,7 @@
                 switch (fault) {
                     case RESET -> FakePeer.RESET.run(watch, "");
                     case END -> watch.close();
-                    case CUT -> Fixture.piece(watch, "{\"rev\":" + (revision + 1) + ",\"all\":fa");
+                    case CUT -> Fixture.sendChunk(watch, "{\"rev\":" + (revision + 1) + ",\"all\":fa");
                 }
             } catch (IOException | InterruptedException e) {
                 // The node has closed the watch already.
--- a/src/test/java/cedarrelay/node/SoakServer.java
+++ b/src/test/java/cedarrelay/node/SoakServer.java
@@ -30,9 +30,9 @@
 
     private void respond(Socket socket, String request) throws IOException, InterruptedException {
         long receivedNs = System.nanoTime();
-        peer.requests.clear();
+        peer.receivedRequests.clear();
         if (request.startsWith("GET /health")) {
-            FakePeer.answer("200 OK", "", "").run(socket, request);
+            FakePeer.respond("200 OK", "", "").run(socket, request);
             return;
         }
         Mode currentMode = mode;
@@ -41,10 +41,10 @@
         switch (currentMode) {
             case SERVE -> {
                 TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(MAX_SERVICE_MS));
-                FakePeer.answer("200 OK", "", "done").run(socket, request);
+                FakePeer.respond("200 OK", "", "done").run(socket, request);
             }
-            case ERROR -> FakePeer.answer("500 Error", "", "").run(socket, request);
-            case REJECT -> FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "").run(socket, request);
+            case ERROR -> FakePeer.respond("500 Error", "", "").run(socket, request);
+            case REJECT -> FakePeer.respond("503 No", "X-Turned-Away: 1\r\n", "").run(socket, request);
             case RESET -> FakePeer.RESET.run(socket, request);
             default -> { }
         }
