--- a/src/main/java/cedarrelay/node/BadRequest.java
+++ b/src/main/java/cedarrelay/node/BadRequestException.java
@@ -3,12 +3,12 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /** A client's request that is rejected with a 4xx status; the message is the reason sent to the client. */
-final class BadRequest extends Exception {
+final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final transient HttpResponseStatus status;
 
-    BadRequest(HttpResponseStatus status, String reason) {
+    BadRequestException(HttpResponseStatus status, String reason) {
         super(reason, null, false, false);
         this.status = status;
     }
--- a/src/main/java/cedarrelay/node/ClientConnection.java
+++ b/src/main/java/cedarrelay/node/ClientConnection.java
@@ -69,7 +69,7 @@
      */
     private record PipelinedRequest(FullHttpRequest http, long arrivedNs, long costBytes) { }
 
-    private final ClientServer listener;
+    private final ClientListener listener;
     private final Channel channel;
     private final RequestDecoder decoder = new RequestDecoder();
     private final Deque<PipelinedRequest> pipelined = new ArrayDeque<>();
@@ -105,15 +105,15 @@
     /** The final response has been passed to the channel; the connection is closed after it. */
     private boolean closingAfterResponse;
 
-    private ClientConnection(ClientServer listener, Channel channel) {
+    private ClientConnection(ClientListener listener, Channel channel) {
         this.listener = listener;
         this.channel = channel;
         connectedNs = openedNs - loopLagNs();
-        openedTick = listener.stall().tickCount();
+        openedTick = listener.loopLag().tickCount();
     }
 
     /** Adds the handlers of a new client connection to its pipeline. */
-    static void open(ClientServer listener, ChannelPipeline pipeline) {
+    static void open(ClientListener listener, ChannelPipeline pipeline) {
         ClientConnection connection = new ClientConnection(listener, pipeline.channel());
         pipeline.addLast(connection.new InputDiscarder(), connection.decoder, new HttpResponseEncoder(),
                 connection.new RequestAggregator(), connection);
@@ -121,11 +121,12 @@
 
     /** Whether no request is pending, pipelined or partly read and no response is still being written. */
     boolean isIdle() {
-        return pending == null && unwrittenResponses == 0 && pipelined.isEmpty() && !decoder.isMidRequest();
+        return pending == null && unwrittenResponses == 0 && pipelined.isEmpty()
+                && !decoder.hasPartialRequest();
     }
 
     /** Since when an idle connection has been idle, by {@link System#nanoTime}. */
-    long restingSinceNs() {
+    long idleSinceNs() {
         return requestReceived ? respondedNs : openedNs;
     }
 
@@ -133,7 +134,7 @@
     void close() {
         if (channel.isActive() && !closingAfterResponse && unwrittenResponses == 0
                 && (pending != null || !pipelined.isEmpty())) {
-            listener.closedUnanswered(channel.remoteAddress());
+            listener.recordUnansweredClose(channel.remoteAddress());
         }
         channel.close();
     }
@@ -142,7 +143,7 @@
      * Whether the client is still connected, as far as the kernel knows. Reads the input that has arrived,
      * even while automatic reading is off or the event loop lags, as the client's close may come after it.
      */
-    boolean isThere() {
+    boolean isClientConnected() {
         if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             long receivedBefore = -1;
             for (int i = 0; i < MAX_READS_PER_CHECK
@@ -158,8 +159,8 @@
      * Whether the connection is open and idle after reading the input that has arrived. To be checked
      * before an idle connection is closed, so that no request is lost.
      */
-    boolean isQuiet() {
-        return isThere() && isIdle();
+    boolean isIdleAfterReading() {
+        return isClientConnected() && isIdle();
     }
 
     /** Closes the connection if its client has exceeded a time limit; a partial request is answered 408. */
@@ -170,10 +171,12 @@
             }
             return;
         }
-        // If the event loop lags, the rest of the request may have arrived in time: isThere() reads it.
-        if (isOverdue(nowNs) && isThere() && isOverdue(nowNs)) {
-            if (decoder.isMidRequest()) {
-                reject(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
+        // If the event loop lags, the rest of the request may have arrived in time: isClientConnected()
+        // reads it.
+        if (isOverdue(nowNs) && isClientConnected() && isOverdue(nowNs)) {
+            if (decoder.hasPartialRequest()) {
+                reject(new BadRequestException(HttpResponseStatus.REQUEST_TIMEOUT,
+                        "request not whole in time"));
             } else {
                 close();
             }
@@ -184,31 +187,31 @@
         if (pending != null || !pipelined.isEmpty()) {
             return false;
         }
-        return decoder.isMidRequest()
+        return decoder.hasPartialRequest()
                 ? nowNs - (requestReceived ? requestBegunNs : openedNs) > CLIENT_TIMEOUT_NS
                 : !requestReceived && nowNs - openedNs > CLIENT_TIMEOUT_NS;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        listener.opened(this);
+        listener.connectionOpened(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        listener.closed(this);
+        listener.connectionClosed(this);
         for (PipelinedRequest next : pipelined) {
             next.http.release();
-            listener.inHand().release(next.costBytes);
+            listener.requestMemory().release(next.costBytes);
         }
         pipelined.clear();
-        listener.inHand().release(partialCostBytes + pendingCostBytes);
+        listener.requestMemory().release(partialCostBytes + pendingCostBytes);
         partialCostBytes = 0;
         pendingCostBytes = 0;
         if (pending != null) {
             Exchange abandoned = pending;
             pending = null;
-            abandoned.gone();
+            abandoned.clientDisconnected();
         }
     }
 
@@ -219,18 +222,18 @@
      */
     private long arrivedNs() {
         long arrivedNs = System.nanoTime() - loopLagNs();
-        return !requestReceived && listener.stall().tickCount() - openedTick <= 1
+        return !requestReceived && listener.loopLag().tickCount() - openedTick <= 1
                 ? Math.min(arrivedNs, connectedNs) : arrivedNs;
     }
 
     private long loopLagNs() {
-        return TimeUnit.MICROSECONDS.toNanos(listener.stall().lagUs());
+        return TimeUnit.MICROSECONDS.toNanos(listener.loopLag().lagUs());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         long arrivedNs = arrivedNs();
-        listener.inHand().release(partialCostBytes);
+        listener.requestMemory().release(partialCostBytes);
         partialCostBytes = 0;
         if (discardingInput || !(message instanceof FullHttpRequest http)) {
             ReferenceCountUtil.release(message);
@@ -239,13 +242,13 @@
         long costBytes = RequestMemoryBudget.estimateBytes(
                 http.decoderResult() instanceof HttpMessageDecoderResult decoded
                 ? decoded.totalSize() : 0, http.content().readableBytes());
-        if (!listener.inHand().tryReserve(costBytes)) {
+        if (!listener.requestMemory().tryReserve(costBytes)) {
             http.release();
-            reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too much at once"));
+            reject(new BadRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too much at once"));
             return;
         }
         requestReceived = true;
-        listener.heardFrom(this);
+        listener.requestReceived(this);
         if (pending == null && pipelined.isEmpty()) {
             // Runs after all input that has arrived is read, as the client's close may follow the request.
             // Otherwise an overloaded node would work mostly for disconnected clients and stay overloaded.
@@ -257,7 +260,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!decoder.isMidRequest()) {
+        if (!decoder.hasPartialRequest()) {
             requestBegunNs = 0;
         } else if (requestBegunNs == 0) {
             requestBegunNs = System.nanoTime();
@@ -273,74 +276,75 @@
             }
             boolean keepAlive = HttpUtil.isKeepAlive(http);
             if (http.uri().equals(READY_PATH)) {
-                answer(readyResponse(http), keepAlive);
+                respond(readyResponse(http), keepAlive);
                 return;
             }
             if (listener.isMetrics(http)) {
-                answer(metricsResponse(http), keepAlive);
+                respond(metricsResponse(http), keepAlive);
                 return;
             }
-            if (listener.isRehearsal(http)) {
-                answer(Exchange.plain(HttpResponseStatus.OK, "rehearsed"), keepAlive);
+            if (listener.isWarmUpRequest(http)) {
+                respond(Exchange.plainTextResponse(HttpResponseStatus.OK, "rehearsed"), keepAlive);
                 return;
             }
-            pending = new Exchange(this, listener.read(http), arrivedNs, keepAlive);
-            listener.take(pending);
-        } catch (BadRequest e) {
+            pending = new Exchange(this, listener.parseRequest(http), arrivedNs, keepAlive);
+            listener.forward(pending);
+        } catch (BadRequestException e) {
             respondWithError(e, http);
         } finally {
             http.release();
         }
     }
 
-    private void respondWithError(BadRequest e, FullHttpRequest http) {
+    private void respondWithError(BadRequestException e, FullHttpRequest http) {
         FullHttpResponse response = errorResponse(e);
         boolean isHead = http.method().equals(HttpMethod.HEAD);
         if (isHead) {
             // A response to HEAD has no body, whatever its Content-Length says.
             response = response.replace(Unpooled.EMPTY_BUFFER);
         }
-        answer(response, HttpUtil.isKeepAlive(http) && !isHead);
+        respond(response, HttpUtil.isKeepAlive(http) && !isHead);
     }
 
     private FullHttpResponse metricsResponse(FullHttpRequest http) {
         return http.method().equals(HttpMethod.GET)
-                ? Exchange.plain(HttpResponseStatus.OK, listener.metrics())
-                : errorResponse(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
+                ? Exchange.plainTextResponse(HttpResponseStatus.OK, listener.metrics())
+                : errorResponse(new BadRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
     }
 
     private FullHttpResponse readyResponse(FullHttpRequest http) {
         if (!http.method().equals(HttpMethod.GET)) {
-            return errorResponse(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
+            return errorResponse(new BadRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
         }
-        String notReadyReason = listener.notReady();
-        return notReadyReason == null ? Exchange.plain(HttpResponseStatus.OK, "ready")
-                : Exchange.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, notReadyReason);
+        String notReadyReason = listener.notReadyReason();
+        return notReadyReason == null ? Exchange.plainTextResponse(HttpResponseStatus.OK, "ready")
+                : Exchange.plainTextResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, notReadyReason);
     }
 
-    private static FullHttpResponse errorResponse(BadRequest e) {
-        FullHttpResponse response = Exchange.plain(e.status(), e.getMessage());
+    private static FullHttpResponse errorResponse(BadRequestException e) {
+        FullHttpResponse response = Exchange.plainTextResponse(e.status(), e.getMessage());
         if (e.status().equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
             response.headers().set(HttpHeaderNames.ALLOW, e.getMessage().replace("use ", ""));
         }
         return response;
     }
 
-    private static BadRequest decodingError(Throwable cause) {
+    private static BadRequestException decodingError(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
-            return new BadRequest(HttpResponseStatus.REQUEST_URI_TOO_LONG, "request line too long");
+            return new BadRequestException(HttpResponseStatus.REQUEST_URI_TOO_LONG, "request line too long");
         }
         if (cause instanceof TooLongHttpHeaderException) {
-            return new BadRequest(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "headers too large");
+            return new BadRequestException(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
+                    "headers too large");
         }
-        return new BadRequest(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
+        return new BadRequestException(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
     }
 
     /**
      * Discards all further input, as it can't be parsed or exceeds a limit. Sends the given error and closes
      * the connection, unless earlier requests are unanswered: then the last of their responses closes it.
      */
-    private void reject(BadRequest e) {
+    private void reject(BadRequestException e) {
         discardingInput = true;
         if (pending != null || !pipelined.isEmpty() || closingAfterResponse) {
             return;
@@ -358,14 +362,14 @@
      * Sends the response to the pending request or to the one that has just been read, then handles the
      * next one or, where the connection can't be kept, closes it.
      */
-    void answer(FullHttpResponse response, boolean keepAlive) {
+    void respond(FullHttpResponse response, boolean keepAlive) {
         clientErrors = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? clientErrors + 1 : 0;
         pending = null;
-        listener.inHand().release(pendingCostBytes);
+        listener.requestMemory().release(pendingCostBytes);
         pendingCostBytes = 0;
         boolean lastRequest = pipelined.isEmpty();
         boolean keepOpen = keepAlive && !closingAfterResponse && clientErrors < MAX_CLIENT_ERRORS
-                && !(lastRequest && (discardingInput || listener.endsConnections()));
+                && !(lastRequest && (discardingInput || listener.closesAfterResponse()));
         ChannelFuture writing = write(keepOpen ? response : withConnectionClose(response));
         if (!keepOpen) {
             discardingInput = true;
@@ -375,7 +379,7 @@
             // As a task, because direct calls would nest once per pipelined request that is rejected; and
             // after the write, so that responses don't pile up for a client that doesn't read them.
             writing.addListener(written -> channel.eventLoop().execute(this::handleNextPipelined));
-        } else if (listener.isClosing()) {
+        } else if (listener.hasStoppedAccepting()) {
             close();
         }
     }
@@ -411,7 +415,7 @@
         // An error in this program: the pending request still gets a response.
         LOG.log(Level.ERROR, "unexpected error while handling a client connection", cause);
         if (pending != null) {
-            pending.failed(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+            pending.fail(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
         } else {
             close();
         }
@@ -444,9 +448,10 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             int addedBytes = message instanceof HttpContent content ? content.content().readableBytes() : 0;
-            if (discardingInput || !listener.inHand().tryReserve(addedBytes)) {
+            if (discardingInput || !listener.requestMemory().tryReserve(addedBytes)) {
                 ReferenceCountUtil.release(message);
-                reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too much at once"));
+                reject(new BadRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+                        "too much at once"));
                 return;
             }
             partialCostBytes += addedBytes;
@@ -463,7 +468,7 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB"));
+            reject(new BadRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB"));
         }
     }
 }
--- a/src/main/java/cedarrelay/node/ClientServer.java
+++ b/src/main/java/cedarrelay/node/ClientListener.java
@@ -27,7 +27,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 
 /** Accepts client connections, and closes those that are overdue or idle where sockets run short. */
-final class ClientServer {
+final class ClientListener {
     private static final String METRICS_PATH = "/metrics";
     private static final int ACCEPT_BACKLOG = 1_024;
     /**
@@ -51,11 +51,11 @@
 
     private final EventLoop loop;
     private final Sockets sockets;
-    private final EventLoopLag stall;
-    private final ClientRequest.Reader reader;
+    private final EventLoopLag loopLag;
+    private final ClientRequest.Parser parser;
     private final Consumer<Exchange> exchangeHandler;
     private final Metrics metrics;
-    private final RequestMemoryBudget inHand = RequestMemoryBudget.fractionOfHeap();
+    private final RequestMemoryBudget requestMemory = RequestMemoryBudget.fractionOfHeap();
     /** Open connections that have sent a complete request, ordered by when the latest was read. */
     private final Set<ClientConnection> usedConnections = new LinkedHashSet<>();
     /** Open connections that have not sent a complete request yet, oldest first. */
@@ -72,13 +72,13 @@
      *
      * @param exchangeHandler receives each request that has been read and accepted for forwarding
      */
-    ClientServer(EventLoop loop, Sockets sockets, EventLoopLag stall, ClientRequest.Reader reader,
+    ClientListener(EventLoop loop, Sockets sockets, EventLoopLag loopLag, ClientRequest.Parser parser,
             Consumer<Exchange> exchangeHandler, Metrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
         this.sockets = sockets;
-        this.stall = stall;
-        this.reader = reader;
+        this.loopLag = loopLag;
+        this.parser = parser;
         this.exchangeHandler = exchangeHandler;
         sockets.clientSide(this::closeOldestIdle, this::resumeAccepting);
     }
@@ -98,7 +98,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        ClientConnection.open(ClientServer.this, channel.pipeline());
+                        ClientConnection.open(ClientListener.this, channel.pipeline());
                     }
                 }).bind(address);
         listeningChannel = binding.channel();
@@ -123,7 +123,7 @@
      * Sets the token that marks the requests of the warm-up. They are answered here and never sent to a
      * server, including those that arrive after a warm-up that was cut short.
      */
-    void setRehearsal(String token) {
+    void setWarmUpToken(String token) {
         warmUpToken = token;
     }
 
@@ -160,12 +160,12 @@
      *
      * @return whether no connection is left
      */
-    boolean closeResting() {
+    boolean closeIdleConnections() {
         long idleBeforeNs = System.nanoTime() - MIN_IDLE_NS;
         for (Set<ClientConnection> connections : List.of(unusedConnections, usedConnections)) {
             for (ClientConnection connection : new ArrayList<>(connections)) {
-                if (connection.isIdle() && connection.restingSinceNs() - idleBeforeNs < 0
-                        && connection.isQuiet()) {
+                if (connection.isIdle() && connection.idleSinceNs() - idleBeforeNs < 0
+                        && connection.isIdleAfterReading()) {
                     connection.close();
                 }
             }
@@ -174,32 +174,32 @@
     }
 
     /** The memory that requests take, over all connections. */
-    RequestMemoryBudget inHand() {
-        return inHand;
+    RequestMemoryBudget requestMemory() {
+        return requestMemory;
     }
 
     /** The lag of the event loop. */
-    EventLoopLag stall() {
-        return stall;
+    EventLoopLag loopLag() {
+        return loopLag;
     }
 
     /** Whether a connection is closed after its response instead of kept for a next request. */
-    boolean endsConnections() {
+    boolean closesAfterResponse() {
         return draining || sockets.areClientsCrowded();
     }
 
     /** Whether {@link #stopAccepting} has been called. */
-    boolean isClosing() {
+    boolean hasStoppedAccepting() {
         return acceptingStopped;
     }
 
     /** Why the node is not ready for client traffic, as {@code /ready} reports it; null if it is ready. */
-    String notReady() {
+    String notReadyReason() {
         return draining ? "stopping" : ready ? null : "starting";
     }
 
     /** Whether the request belongs to the warm-up, by its token. */
-    boolean isRehearsal(FullHttpRequest http) {
+    boolean isWarmUpRequest(FullHttpRequest http) {
         return warmUpToken != null && warmUpToken.equals(http.headers().get(WarmUp.TOKEN_HEADER));
     }
 
@@ -210,26 +210,26 @@
 
     /** Whether the request is for the metrics; a class of requests with the same path has precedence. */
     boolean isMetrics(FullHttpRequest http) {
-        return http.uri().equals(METRICS_PATH) && !reader.isClass(METRICS_PATH.substring(1));
+        return http.uri().equals(METRICS_PATH) && !parser.isClass(METRICS_PATH.substring(1));
     }
 
     /** Records that the node closed a connection with a request that was read and not answered. */
-    void closedUnanswered(SocketAddress client) {
+    void recordUnansweredClose(SocketAddress client) {
         metrics.recordViolation(Counter.VIOLATIONS_CLOSE_UNANSWERED, "client " + client);
     }
 
     /** Parses and checks a request; throws the error to be sent if it can't be forwarded. */
-    ClientRequest read(FullHttpRequest http) throws BadRequest {
-        return reader.read(http);
+    ClientRequest parseRequest(FullHttpRequest http) throws BadRequestException {
+        return parser.parse(http);
     }
 
     /** Passes a request on to be sent to a server. */
-    void take(Exchange exchange) {
+    void forward(Exchange exchange) {
         exchangeHandler.accept(exchange);
     }
 
     /** Counts a new connection, and pauses accepting if there is no room for a further one. */
-    void opened(ClientConnection connection) {
+    void connectionOpened(ClientConnection connection) {
         sockets.addClient();
         if (!sockets.makeClientRoom()) {
             pauseAccepting();
@@ -238,14 +238,14 @@
     }
 
     /** Notes that the connection has sent a complete request. */
-    void heardFrom(ClientConnection connection) {
+    void requestReceived(ClientConnection connection) {
         if (unusedConnections.remove(connection) || usedConnections.remove(connection)) {
             usedConnections.add(connection);
         }
     }
 
     /** Removes a closed connection; has no effect the second time. */
-    void closed(ClientConnection connection) {
+    void connectionClosed(ClientConnection connection) {
         if (unusedConnections.remove(connection) || usedConnections.remove(connection)) {
             sockets.removeClient();
         }
@@ -263,13 +263,13 @@
     }
 
     private boolean closeOldestIdle(Set<ClientConnection> connections, long idleBeforeNs) {
-        // Iterates over a copy, because isQuiet() may read a request, which moves the connection.
+        // Iterates over a copy, because isIdleAfterReading() may read a request, which moves the connection.
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            if (connection.isIdle() && connection.restingSinceNs() - idleBeforeNs < 0
-                    && connection.isQuiet()) {
+            if (connection.isIdle() && connection.idleSinceNs() - idleBeforeNs < 0
+                    && connection.isIdleAfterReading()) {
                 connection.close();
                 // Netty calls channelInactive only later, and until then the caller would find no room.
-                closed(connection);
+                connectionClosed(connection);
                 return true;
             }
         }
--- a/src/main/java/cedarrelay/node/ClientRequest.java
+++ b/src/main/java/cedarrelay/node/ClientRequest.java
@@ -22,7 +22,7 @@
  *
  * @param id the value of {@code X-Txn}, which identifies the request
  * @param classIndex index of its class in {@code Settings.classes}
- * @param tenant index of its tenant in {@code Settings.tenants}, or -1 without {@code X-Org}
+ * @param tenantIndex index of its tenant in {@code Settings.tenants}, or -1 without {@code X-Org}
  * @param remainingUs how long the client waits from when it sent the request, at most the class's deadline
  * @param workUs the client's estimate of the work that the request takes; 0 without a usable one
  * @param retry whether the client marks it as a retry
@@ -30,11 +30,11 @@
  * @param uri the request target, as the client sent it
  * @param headers the headers for the server, without those that concern only the client's connection
  */
-record ClientRequest(long id, int classIndex, int tenant, long remainingUs, long workUs, boolean retry,
+record ClientRequest(long id, int classIndex, int tenantIndex, long remainingUs, long workUs, boolean retry,
         HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
 
     /** Header with the time for which the sender waits for the response. */
-    static final String REMAINING = "X-Remaining-Ms";
+    static final String REMAINING_MS_HEADER = "X-Remaining-Ms";
     private static final String REQUEST_ID = "X-Txn";
     private static final String TENANT = "X-Org";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
@@ -44,7 +44,7 @@
     private static final CharSequence[] HOP_BY_HOP_HEADERS = {HttpHeaderNames.CONNECTION, "Keep-Alive",
         HttpHeaderNames.PROXY_AUTHORIZATION, HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
         HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT,
-        HttpHeaderNames.CONTENT_LENGTH, REMAINING};
+        HttpHeaderNames.CONTENT_LENGTH, REMAINING_MS_HEADER};
 
     /**
      * Builds the message to a server.
@@ -52,11 +52,11 @@
      * @param waitUs how long this node waits for the response, in microseconds; sent in milliseconds, at
      *         least 1
      */
-    FullHttpRequest forServer(long waitUs) {
+    FullHttpRequest toServerRequest(long waitUs) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri,
                 Unpooled.wrappedBuffer(body), headers.copy(),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
-        message.headers().set(REMAINING, Math.max(1, waitUs / 1_000));
+        message.headers().set(REMAINING_MS_HEADER, Math.max(1, waitUs / 1_000));
         if (body.length > 0 || method.equals(HttpMethod.POST)) {
             message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
@@ -64,12 +64,12 @@
     }
 
     /** Parses and checks requests, by the classes and tenants of the settings. */
-    static final class Reader {
+    static final class Parser {
         private final Settings settings;
         private final Map<String, Integer> classes = new HashMap<>();
         private final Map<String, Integer> tenants = new HashMap<>();
 
-        Reader(Settings settings) {
+        Parser(Settings settings) {
             this.settings = settings;
             settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
             settings.tenants.forEach(t -> tenants.put(t.name(), tenants.size()));
@@ -82,32 +82,32 @@
         /**
          * Parses a complete request.
          *
-         * @throws BadRequest if it can't be forwarded, with the status and the reason for the client
+         * @throws BadRequestException if it can't be forwarded, with the status and the reason for the client
          */
-        ClientRequest read(FullHttpRequest http) throws BadRequest {
+        ClientRequest parse(FullHttpRequest http) throws BadRequestException {
             HttpHeaders headers = http.headers();
             Integer classIndex = classes.get(className(http.uri()));
             if (classIndex == null) {
-                throw new BadRequest(HttpResponseStatus.NOT_FOUND, "unknown class of request");
+                throw new BadRequestException(HttpResponseStatus.NOT_FOUND, "unknown class of request");
             }
             RequestClass requestClass = settings.classes.get(classIndex);
             HttpMethod method = requestClass.retrySafety() == RetrySafety.SAFE ? HttpMethod.GET
                     : HttpMethod.POST;
             if (!http.method().equals(method)) {
-                throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
+                throw new BadRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
             }
             if (requestClass.retrySafety() == RetrySafety.KEYED && !headers.contains(IDEMPOTENCY_KEY)) {
                 throw badRequest(IDEMPOTENCY_KEY + " is missing");
             }
             String tenantName = headers.get(TENANT);
-            Integer tenant = tenantName == null ? Integer.valueOf(-1) : tenants.get(tenantName);
-            if (tenant == null) {
+            Integer tenantIndex = tenantName == null ? Integer.valueOf(-1) : tenants.get(tenantName);
+            if (tenantIndex == null) {
                 throw badRequest("unknown " + TENANT);
             }
             // At most nine digits, which is eleven days: no client waits longer.
-            long remainingMs = parseDigits(headers.get(REMAINING), 9);
+            long remainingMs = parseDigits(headers.get(REMAINING_MS_HEADER), 9);
             if (remainingMs < 0) {
-                throw badRequest(REMAINING + " is missing or no whole number of milliseconds");
+                throw badRequest(REMAINING_MS_HEADER + " is missing or no whole number of milliseconds");
             }
             long workUs = Math.max(0, parseDigits(headers.get(WORK_ESTIMATE), 12));
             HttpHeaders forwardedHeaders = headers.copy();
@@ -125,7 +125,7 @@
             }
             // The deadline in the settings limits the time that the client itself states.
             long remainingUs = Math.min(1_000 * remainingMs, requestClass.deadlineUs());
-            return new ClientRequest(id(headers), classIndex, tenant, remainingUs, workUs,
+            return new ClientRequest(id(headers), classIndex, tenantIndex, remainingUs, workUs,
                     "1".equals(headers.get(RETRY)), method, http.uri(), forwardedHeaders,
                     ByteBufUtil.getBytes(http.content()));
         }
@@ -138,7 +138,7 @@
             return uri.startsWith("/") ? uri.substring(1, end) : "";
         }
 
-        private static long id(HttpHeaders headers) throws BadRequest {
+        private static long id(HttpHeaders headers) throws BadRequestException {
             String id = headers.get(REQUEST_ID);
             if (id == null || !id.matches("[0-9a-fA-F]{16}") || headers.getAll(REQUEST_ID).size() > 1) {
                 throw badRequest(REQUEST_ID + " is missing or not 16 hex digits");
@@ -159,8 +159,8 @@
             return Long.parseLong(text);
         }
 
-        private static BadRequest badRequest(String reason) {
-            return new BadRequest(HttpResponseStatus.BAD_REQUEST, reason);
+        private static BadRequestException badRequest(String reason) {
+            return new BadRequestException(HttpResponseStatus.BAD_REQUEST, reason);
         }
     }
 }
--- a/src/main/java/cedarrelay/node/Exchange.java
+++ b/src/main/java/cedarrelay/node/Exchange.java
@@ -35,28 +35,28 @@
     }
 
     /** Whether the request is unanswered and the client still connected, as far as the kernel knows. */
-    boolean isAwaited() {
-        return !answered && connection.isThere();
+    boolean isClientWaiting() {
+        return !answered && connection.isClientConnected();
     }
 
     /** Sets the action to run if the client disconnects before the response. */
-    void whenGone(Runnable action) {
+    void onClientDisconnect(Runnable action) {
         disconnectAction = action;
     }
 
     /** Called when the client has disconnected before the response. */
-    void gone() {
+    void clientDisconnected() {
         answered = true;
         disconnectAction.run();
     }
 
     /** Sends a 200 with the content of a server's response. */
-    void served(Answer answer) {
-        FullHttpResponse response = response(HttpResponseStatus.OK, answer.body());
-        if (answer.contentType() != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
+    void respond(ServerResponse serverResponse) {
+        FullHttpResponse response = response(HttpResponseStatus.OK, serverResponse.body());
+        if (serverResponse.contentType() != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, serverResponse.contentType());
         }
-        answer(response);
+        sendResponse(response);
     }
 
     /**
@@ -64,32 +64,33 @@
      *
      * @param retryAfterUs delay for {@code Retry-After}, in microseconds; 0 sends no such header
      */
-    void refused(long retryAfterUs) {
-        FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused, try again");
+    void refuse(long retryAfterUs) {
+        FullHttpResponse response = plainTextResponse(HttpResponseStatus.SERVICE_UNAVAILABLE,
+                "refused, try again");
         if (retryAfterUs > 0) {
             String seconds = retryAfterUs % 1_000_000 == 0 ? Long.toString(retryAfterUs / 1_000_000)
                     : Double.toString(Math.ceil(retryAfterUs / 1e3) / 1e3);
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
         }
-        answer(response);
+        sendResponse(response);
     }
 
     /** Sends an error that leaves open whether the request had an effect. */
-    void failed(HttpResponseStatus status, String reason) {
-        answer(plain(status, reason));
+    void fail(HttpResponseStatus status, String reason) {
+        sendResponse(plainTextResponse(status, reason));
     }
 
-    private void answer(FullHttpResponse response) {
+    private void sendResponse(FullHttpResponse response) {
         if (answered) {
             response.release();
             return;
         }
         answered = true;
-        connection.answer(response, keepAlive);
+        connection.respond(response, keepAlive);
     }
 
     /** A plain-text response with the reason as its only line. */
-    static FullHttpResponse plain(HttpResponseStatus status, String reason) {
+    static FullHttpResponse plainTextResponse(HttpResponseStatus status, String reason) {
         FullHttpResponse response = response(status, (reason + "\n").getBytes(StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
         return response;
--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -81,7 +81,7 @@
     private final ServerPool pool;
     private final MembershipGate gate;
     private final Discovery discovery;
-    private final ClientServer clientServer;
+    private final ClientListener clientListener;
     private final EventLoopLag loopLag;
     private final Metrics metrics = new Metrics();
     private final long startedNs = System.nanoTime();
@@ -137,7 +137,7 @@
          */
         boolean isClientWaiting() {
             if (!finished && System.nanoTime() - exchange.arrivedNs() > CLIENT_CHECK_AFTER_NS
-                    && !exchange.isAwaited()) {
+                    && !exchange.isClientWaiting()) {
                 // The connection reports its end only in a later task of the event loop.
                 finish();
             }
@@ -203,7 +203,7 @@
             metrics.increment(Counter.ATTEMPTS_WRITTEN);
             recordSendDelay(this);
             checkInvariants();
-            return request.exchange.request().forServer(timeoutAtUs - nowUs());
+            return request.exchange.request().toServerRequest(timeoutAtUs - nowUs());
         }
 
         /** Counts violations of what must hold at each first byte; all of it has been checked before. */
@@ -238,7 +238,7 @@
         }
 
         @Override
-        public void onResult(Result result, Answer answer) {
+        public void onResult(Result result, ServerResponse response) {
             ended = true;
             this.result = result;
             request.openAttempts--;
@@ -249,7 +249,7 @@
                 sendByTimer.cancel(false);
             }
             if (result == Result.OK && !request.finished) {
-                request.exchange.served(answer);
+                request.exchange.respond(response);
                 recordEnd(request, Counter.REQUESTS_SERVED, "served by " + serverId);
                 request.finish();
             }
@@ -282,8 +282,8 @@
                 config.settings().drainGraceUs, loopLag::lagUs, this::resume);
         pool = new ServerPool(loop, sockets, config.settings().connectTimeoutUs, config.connIdleUs(),
                 ServerPool.QUARANTINE_US, gate::mayWrite);
-        clientServer = new ClientServer(loop, sockets, loopLag, new ClientRequest.Reader(config.settings()),
-                this::acceptRequest, metrics);
+        clientListener = new ClientListener(loop, sockets, loopLag,
+                new ClientRequest.Parser(config.settings()), this::acceptRequest, metrics);
         discovery = new Discovery(loop, config.discovery(), config.known().revision(),
                 config.settings().listOnRequest ? Discovery.IDLE_TIMEOUT_MS : Discovery.RESPONSE_TIMEOUT_MS,
                 Discovery.IDLE_TIMEOUT_MS, this);
@@ -309,7 +309,7 @@
             useFirstList(ListKind.CACHED, config.known());
         }, listWaitMs, TimeUnit.MILLISECONDS);
         onReady = whenReady;
-        ChannelFuture binding = clientServer.listen(group, config.listen());
+        ChannelFuture binding = clientListener.listen(group, config.listen());
         binding.addListener(done -> {
             if (done.isSuccess()) {
                 // The first log line opens files of the runtime. Written later, without free descriptors, it
@@ -319,7 +319,7 @@
                         binding.channel().localAddress(), Long.toHexString(config.seed()),
                         Long.toString(config.known().revision()), config.known().entries().size());
                 String token = Long.toHexString(new SplittableRandom(config.seed()).nextLong());
-                clientServer.setRehearsal(token);
+                clientListener.setWarmUpToken(token);
                 new WarmUp(loop, config, (InetSocketAddress) binding.channel().localAddress(), token,
                         warmUpRequests, MAX_WARM_UP_MS, () -> {
                             warmUpDone = true;
@@ -348,7 +348,7 @@
         if (warmUpDone && listInUse) {
             LOG.log(Level.INFO, "ready {0} ms after the start",
                     Long.toString(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs)));
-            clientServer.setReady();
+            clientListener.setReady();
             onReady.run();
         }
     }
@@ -366,7 +366,7 @@
 
     /** Sets up a client connection without a socket, for the warm-up. */
     void openSocketlessClient(ChannelPipeline pipeline) {
-        ClientConnection.open(clientServer, pipeline);
+        ClientConnection.open(clientListener, pipeline);
     }
 
     /** Cancels the timers and closes the connections of a warm-up node. */
@@ -393,15 +393,15 @@
     /** Stops accepting requests after a delay and runs {@code done} as soon as all have their responses. */
     void stop(Runnable done) {
         LOG.log(Level.INFO, "stopping, {0} requests are pending", pendingRequests.size());
-        clientServer.drain();
+        clientListener.drain();
         loop.schedule(() -> {
-            clientServer.stopAccepting();
+            clientListener.stopAccepting();
             runWhenDone(done);
         }, ACCEPT_WHILE_STOPPING_MS, TimeUnit.MILLISECONDS);
     }
 
     private void runWhenDone(Runnable done) {
-        if (clientServer.closeResting()) {
+        if (clientListener.closeIdleConnections()) {
             LOG.log(Level.INFO, "stopped: {0}", metrics.summary());
             done.run();
         } else {
@@ -464,7 +464,7 @@
     private void acceptRequest(Exchange exchange) {
         ClientRequest request = exchange.request();
         if (pendingRequests.containsKey(request.id()) || finishedIds.contains(request.id())) {
-            exchange.failed(HttpResponseStatus.CONFLICT, "a request of this id is in hand or over");
+            exchange.fail(HttpResponseStatus.CONFLICT, "a request of this id is in hand or over");
             return;
         }
         long arrivedUs = toClockUs(exchange.arrivedNs());
@@ -476,10 +476,10 @@
         LOG.log(Level.DEBUG, () -> "request " + hex(request.id()) + " accepted, class " + request.classIndex()
                 + ", " + leftUs / 1_000 + " ms left");
         accepted.deadlineTimer = scheduleAt(arrivedUs + request.remainingUs(), () -> expire(accepted));
-        exchange.whenGone(() -> onDisconnect(accepted));
+        exchange.onClientDisconnect(() -> onDisconnect(accepted));
         callBalancer(accepted, () -> {
             long now = nowUs();
-            balancer.onRequest(now, new Request(request.id(), request.classIndex(), request.tenant(),
+            balancer.onRequest(now, new Request(request.id(), request.classIndex(), request.tenantIndex(),
                     Math.max(0, accepted.deadlineUs - now), request.workUs(), request.retry(),
                     now - arrivedUs));
         });
@@ -503,7 +503,7 @@
 
     private void failRequest(PendingRequest request, HttpResponseStatus status, String reason) {
         if (!request.finished) {
-            request.exchange.failed(status, reason);
+            request.exchange.fail(status, reason);
             recordEnd(request, Counter.REQUESTS_FAILED, reason);
             request.finish();
         }
@@ -555,7 +555,7 @@
     public void refuse(long requestId, long retryAfterUs) {
         PendingRequest request = pendingRequests.get(requestId);
         if (request != null && !request.finished) {
-            request.exchange.refused(retryAfterUs);
+            request.exchange.refuse(retryAfterUs);
             recordEnd(request, Counter.REQUESTS_REFUSED, "refused");
             request.finish();
         }
@@ -594,7 +594,7 @@
             }
 
             @Override
-            public void onResult(Result result, Answer answer) {
+            public void onResult(Result result, ServerResponse response) {
                 timer.cancel(false);
                 long tookUs = nowUs() - startedUs;
                 callBalancer(null, () -> balancer.onProbe(nowUs(), serverId, result, tookUs, null));
--- a/src/main/java/cedarrelay/node/RequestDecoder.java
+++ b/src/main/java/cedarrelay/node/RequestDecoder.java
@@ -12,18 +12,19 @@
 /** Netty's request decoder, stricter about a request's length; also tells if a request is incomplete. */
 final class RequestDecoder extends HttpRequestDecoder {
     /** Longest request line, in bytes. */
-    static final int MAX_LINE = 8_192;
+    static final int MAX_REQUEST_LINE_BYTES = 8_192;
     /** Largest size of all headers of a request, in bytes. */
-    static final int MAX_HEADERS = 16_384;
+    static final int MAX_HEADER_BYTES = 16_384;
 
     private boolean requestBegun;
 
     RequestDecoder() {
-        super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_LINE).setMaxHeaderSize(MAX_HEADERS));
+        super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES));
     }
 
     /** Whether a request has been received in part. */
-    boolean isMidRequest() {
+    boolean hasPartialRequest() {
         return requestBegun || actualReadableBytes() > 0;
     }
 
--- a/src/main/java/cedarrelay/node/AnswerReader.java
+++ b/src/main/java/cedarrelay/node/ResponseReader.java
@@ -17,7 +17,7 @@
 import io.netty.util.AsciiString;
 
 /** Assembles one response of a server, within size limits, and rejects responses that are ambiguous. */
-final class AnswerReader {
+final class ResponseReader {
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_STATUS_LINE_BYTES = 4_096;
     private static final int MAX_HEADER_BYTES = 16_384;
@@ -26,17 +26,17 @@
     private static final byte[] EMPTY_BODY = {};
 
     /** The bytes received are not a valid response to the request. */
-    static final class Spoilt extends Exception {
+    static final class MalformedResponseException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Spoilt() {
+        MalformedResponseException() {
             super("invalid response from the server", null, false, false);
         }
     }
 
     /** Netty's response decoder, but rejecting lines and lengths that can be read in more than one way. */
-    static final class Decoder extends HttpResponseDecoder {
-        Decoder() {
+    static final class ResponseDecoder extends HttpResponseDecoder {
+        ResponseDecoder() {
             super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_STATUS_LINE_BYTES)
                     .setMaxHeaderSize(MAX_HEADER_BYTES));
         }
@@ -63,7 +63,7 @@
     private boolean complete;
 
     /** Whether the final response is complete. */
-    boolean isWhole() {
+    boolean isComplete() {
         return complete;
     }
 
@@ -71,11 +71,11 @@
      * Adds the next decoded part.
      *
      * @return whether the final response is now complete
-     * @throws Spoilt if the response is malformed, too large or not properly ended
+     * @throws MalformedResponseException if the response is malformed, too large or not properly ended
      */
-    boolean read(HttpObject part) throws Spoilt {
+    boolean read(HttpObject part) throws MalformedResponseException {
         if (complete || part.decoderResult().isFailure()) {
-            throw new Spoilt();
+            throw new MalformedResponseException();
         }
         if (part instanceof HttpResponse response) {
             beginResponse(response);
@@ -89,21 +89,21 @@
         return complete;
     }
 
-    private void beginResponse(HttpResponse response) throws Spoilt {
+    private void beginResponse(HttpResponse response) throws MalformedResponseException {
         head = response;
         long length = HttpUtil.getContentLength(response, 0L);
         // A larger body can't be forwarded, and no request asks for another protocol.
         if (length > MAX_BODY_BYTES || response.protocolVersion().majorVersion() != 1
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-            throw new Spoilt();
+            throw new MalformedResponseException();
         }
         body = length > 0 ? new byte[(int) length] : EMPTY_BODY;
     }
 
-    private void addContent(ByteBuf content) throws Spoilt {
+    private void addContent(ByteBuf content) throws MalformedResponseException {
         int contentBytes = content.readableBytes();
         if (bodyBytes + contentBytes > MAX_BODY_BYTES) {
-            throw new Spoilt();
+            throw new MalformedResponseException();
         }
         if (bodyBytes + contentBytes > body.length) {
             body = Arrays.copyOf(body,
@@ -113,10 +113,10 @@
         bodyBytes += contentBytes;
     }
 
-    private void endResponse() throws Spoilt {
+    private void endResponse() throws MalformedResponseException {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             if (++informationalCount > MAX_INFORMATIONAL) {
-                throw new Spoilt();
+                throw new MalformedResponseException();
             }
             body = EMPTY_BODY;
             bodyBytes = 0;
@@ -124,7 +124,7 @@
         }
         if (head.status().code() == 200 && !isFramed()) {
             // Its body ends with the connection, which looks the same if the server dies half way.
-            throw new Spoilt();
+            throw new MalformedResponseException();
         }
         complete = true;
     }
@@ -148,9 +148,9 @@
         return HttpUtil.isKeepAlive(head) && isFramed();
     }
 
-    /** The complete response; to be called only when it {@link #isWhole}. */
-    Answer answer() {
-        return new Answer(status(), header(HttpHeaderNames.CONTENT_TYPE),
+    /** The complete response; to be called only when it {@link #isComplete}. */
+    ServerResponse toResponse() {
+        return new ServerResponse(status(), header(HttpHeaderNames.CONTENT_TYPE),
                 bodyBytes == body.length ? body : Arrays.copyOf(body, bodyBytes));
     }
 }
--- a/src/main/java/cedarrelay/node/ServerPool.java
+++ b/src/main/java/cedarrelay/node/ServerPool.java
@@ -59,9 +59,9 @@
         /**
          * Reports the result, exactly once for each attempt.
          *
-         * @param answer the response if the result is OK, ERROR or REJECTED, else null
+         * @param response the response if the result is OK, ERROR or REJECTED, else null
          */
-        void onResult(Result result, Answer answer);
+        void onResult(Result result, ServerResponse response);
     }
 
     /** A server, its idle connections and the attempts that wait for a connection. */
@@ -147,10 +147,10 @@
             }
         }
 
-        private void end(Result result, Answer answer) {
+        private void end(Result result, ServerResponse response) {
             if (!finished) {
                 finished = true;
-                owner.onResult(result, answer);
+                owner.onResult(result, response);
             }
         }
     }
@@ -370,7 +370,7 @@
             @Override
             protected void initChannel(SocketChannel ch) {
                 ch.pipeline().addLast(connection.new IdleGuard(),
-                        new AnswerReader.Decoder(), new HttpRequestEncoder(), connection);
+                        new ResponseReader.ResponseDecoder(), new HttpRequestEncoder(), connection);
             }
         }).connect(server.address).addListener(future -> {
             // A connection that the server has closed already counts as failed: no attempt can use it, and
@@ -438,7 +438,7 @@
         /** Whether the kernel has accepted the whole request of the present attempt. */
         private boolean fullyWritten;
         private long idleSinceNs;
-        private AnswerReader reader;
+        private ResponseReader responseReader;
         /** Whether the connection can be kept after the present response. */
         private boolean reusable;
 
@@ -501,7 +501,7 @@
             next.connection = this;
             next.sentNs = System.nanoTime();
             fullyWritten = false;
-            reader = new AnswerReader();
+            responseReader = new ResponseReader();
             // The write succeeds once the kernel has accepted the last byte; Netty never writes it twice.
             channel.writeAndFlush(next.owner.createRequest()).addListener(future -> {
                 if (attempt != next) {
@@ -527,17 +527,17 @@
         }
 
         private void read(Object message) {
-            if (attempt == null || reader.isWhole()) {
+            if (attempt == null || responseReader.isComplete()) {
                 // Data without a request, or after the end of the response.
                 reusable = false;
                 discardIfIdle();
                 return;
             }
             try {
-                if (message instanceof HttpObject part && reader.read(part)) {
-                    reusable = fullyWritten && reader.isKeepAlive();
+                if (message instanceof HttpObject part && responseReader.read(part)) {
+                    reusable = fullyWritten && responseReader.isKeepAlive();
                 }
-            } catch (AnswerReader.Spoilt e) {
+            } catch (ResponseReader.MalformedResponseException e) {
                 onBroken();
             }
         }
@@ -554,24 +554,24 @@
         }
 
         private boolean isAnswered() {
-            return attempt != null && reader.isWhole();
+            return attempt != null && responseReader.isComplete();
         }
 
         private void finish() {
-            Attempt answered = attempt;
-            Answer answer = reader.answer();
+            Attempt answeredAttempt = attempt;
+            ServerResponse response = responseReader.toResponse();
             server.lastResponseNs = System.nanoTime();
-            boolean rejected = (answer.status() == 503 || answer.status() == 504)
-                    && "1".equals(reader.header(REJECTED_HEADER));
+            boolean rejected = (response.status() == 503 || response.status() == 504)
+                    && "1".equals(responseReader.header(REJECTED_HEADER));
             attempt = null;
-            reader = null;
+            responseReader = null;
             if (reusable) {
                 returnToIdle();
             } else {
                 channel.close();
             }
-            answered.end(answer.status() == 200 ? Result.OK : rejected ? Result.REJECTED : Result.ERROR,
-                    answer);
+            answeredAttempt.end(response.status() == 200 ? Result.OK
+                    : rejected ? Result.REJECTED : Result.ERROR, response);
         }
 
         /**
@@ -579,11 +579,11 @@
          * was written completely (RESET), else it can't have run (CONNECT_FAILED).
          */
         private void onBroken() {
-            Attempt failed = attempt;
+            Attempt failedAttempt = attempt;
             attempt = null;
             discardIfIdle();
-            if (failed != null) {
-                failed.end(fullyWritten ? Result.RESET : Result.CONNECT_FAILED, null);
+            if (failedAttempt != null) {
+                failedAttempt.end(fullyWritten ? Result.RESET : Result.CONNECT_FAILED, null);
             }
         }
 
--- a/src/main/java/cedarrelay/node/Answer.java
+++ b/src/main/java/cedarrelay/node/ServerResponse.java
@@ -6,4 +6,4 @@
  * @param status HTTP status code
  * @param contentType the value of {@code Content-Type}, or null
  */
-record Answer(int status, String contentType, byte[] body) { }
+record ServerResponse(int status, String contentType, byte[] body) { }
--- a/src/test/java/cedarrelay/node/DrainNotificationDeadlineTest.java
+++ b/src/test/java/cedarrelay/node/DrainNotificationDeadlineTest.java
@@ -102,8 +102,8 @@
             for (int i = 1; sentElsewhere < 20; i++) {
                 int before = drainingServer.receivedRequests.size();
                 FakePeer.write(client, Fixture.request("GET", "/view", i, "", ""));
-                String answer = FakePeer.readMessage(client);
-                assertTrue(answer != null && answer.startsWith("HTTP/1.1 200 "), answer);
+                String response = FakePeer.readMessage(client);
+                assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), response);
                 sentElsewhere = drainingServer.receivedRequests.size() == before ? sentElsewhere + 1 : 0;
                 long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - reachableNs);
                 assertTrue(tookMs < NOTIFIED_AFTER_MS, "sent to a draining server after " + tookMs + " ms");
--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -131,7 +131,7 @@
             }
 
             @Override
-            public void onResult(Result result, Answer response) {
+            public void onResult(Result result, ServerResponse response) {
                 results.add(result);
             }
         };
--- a/src/test/java/cedarrelay/node/ServerPoolTest.java
+++ b/src/test/java/cedarrelay/node/ServerPoolTest.java
@@ -46,7 +46,7 @@
     private FakePeer server;
 
     /** The reported result of an attempt. */
-    private record Report(Result result, Answer answer) { }
+    private record Report(Result result, ServerResponse response) { }
 
     /** Sends a request with a body of zeros, and records what is reported. */
     private static class RecordingOwner implements ServerPool.AttemptOwner {
@@ -66,8 +66,8 @@
         }
 
         @Override
-        public void onResult(Result result, Answer answer) {
-            reports.add(new Report(result, answer));
+        public void onResult(Result result, ServerResponse response) {
+            reports.add(new Report(result, response));
         }
 
         Report report() throws InterruptedException {
@@ -127,8 +127,8 @@
     void aCompleteResponseIsReportedUnchanged() throws Exception {
         Report report = outcome(FakePeer.respond("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
         assertEquals(Result.OK, report.result());
-        assertArrayEquals("h\u00e9llo".getBytes(StandardCharsets.ISO_8859_1), report.answer().body());
-        assertEquals("text/x", report.answer().contentType());
+        assertArrayEquals("h\u00e9llo".getBytes(StandardCharsets.ISO_8859_1), report.response().body());
+        assertEquals("text/x", report.response().contentType());
         assertEquals(Result.OK, outcome(FakePeer.respondRaw(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + "2\r\nab\r\n0\r\n\r\n")).result());
@@ -215,7 +215,7 @@
             FakePeer.write(idle, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
             return pool.start("s", second);
         }).get();
-        assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
+        assertEquals("hello", new String(second.report().response().body(), StandardCharsets.UTF_8));
     }
 
     @Test
@@ -232,7 +232,7 @@
         FakePeer.write(resting, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
         assertSame(resting, FakePeer.awaitNext(server.closedConnections));
         // The attempt that waited for this connection gets another one.
-        assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
+        assertEquals("hello", new String(second.report().response().body(), StandardCharsets.UTF_8));
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
     }
 
@@ -499,7 +499,7 @@
             assertSame(idle, FakePeer.awaitNext(server.closedConnections));
             RecordingOwner second = new RecordingOwner(10);
             start(pool, second);
-            assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
+            assertEquals("hello", new String(second.report().response().body(), StandardCharsets.UTF_8));
             FakePeer.awaitNext(server.acceptedConnections).close();
             FakePeer.awaitNext(server.closedConnections);
         }
@@ -525,7 +525,7 @@
             FakePeer.awaitNext(server.closedConnections);
             RecordingOwner second = new RecordingOwner(10);
             start(pool, second);
-            assertEquals("moved", new String(second.report().answer().body(), StandardCharsets.UTF_8));
+            assertEquals("moved", new String(second.report().response().body(), StandardCharsets.UTF_8));
         }
     }
 }
