--- a/src/main/java/cedarrelay/node/ClientListener.java
+++ b/src/main/java/cedarrelay/node/ClientListener.java
@@ -50,7 +50,7 @@
     private static final int MAX_READ_BYTES = 16_384;
 
     private final EventLoop loop;
-    private final Sockets sockets;
+    private final SocketLimiter socketLimiter;
     private final EventLoopLag loopLag;
     private final ClientRequest.Parser parser;
     private final Consumer<Exchange> exchangeHandler;
@@ -72,15 +72,15 @@
      *
      * @param exchangeHandler receives each request that has been read and accepted for forwarding
      */
-    ClientListener(EventLoop loop, Sockets sockets, EventLoopLag loopLag, ClientRequest.Parser parser,
-            Consumer<Exchange> exchangeHandler, Metrics metrics) {
+    ClientListener(EventLoop loop, SocketLimiter socketLimiter, EventLoopLag loopLag,
+            ClientRequest.Parser parser, Consumer<Exchange> exchangeHandler, Metrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
-        this.sockets = sockets;
+        this.socketLimiter = socketLimiter;
         this.loopLag = loopLag;
         this.parser = parser;
         this.exchangeHandler = exchangeHandler;
-        sockets.clientSide(this::closeOldestIdle, this::resumeAccepting);
+        socketLimiter.registerClientSide(this::closeOldestIdle, this::resumeAccepting);
     }
 
     /** Binds the address and accepts connections on it; the future fails if the address can't be bound. */
@@ -114,7 +114,7 @@
             new ArrayList<>(connections).forEach(connection -> connection.closeIfOverdue(nowNs));
         }
         boolean closed = true;
-        while (closed && sockets.areClientsMany()) {
+        while (closed && socketLimiter.shouldCloseIdleClients()) {
             closed = closeOldestIdle(usedConnections, nowNs - IDLE_TIMEOUT_NS);
         }
     }
@@ -185,7 +185,7 @@
 
     /** Whether a connection is closed after its response instead of kept for a next request. */
     boolean closesAfterResponse() {
-        return draining || sockets.areClientsCrowded();
+        return draining || socketLimiter.shouldCloseAfterResponse();
     }
 
     /** Whether {@link #stopAccepting} has been called. */
@@ -230,8 +230,8 @@
 
     /** Counts a new connection, and pauses accepting if there is no room for a further one. */
     void connectionOpened(ClientConnection connection) {
-        sockets.addClient();
-        if (!sockets.makeClientRoom()) {
+        socketLimiter.addClient();
+        if (!socketLimiter.makeRoomForClient()) {
             pauseAccepting();
         }
         unusedConnections.add(connection);
@@ -247,7 +247,7 @@
     /** Removes a closed connection; has no effect the second time. */
     void connectionClosed(ClientConnection connection) {
         if (unusedConnections.remove(connection) || usedConnections.remove(connection)) {
-            sockets.removeClient();
+            socketLimiter.removeClient();
         }
     }
 
@@ -287,7 +287,7 @@
     /** Checks for room again: a connection may have become idle, which causes no notification. */
     private void retryAccepting() {
         if (listeningChannel.isOpen() && !listeningChannel.config().isAutoRead()) {
-            if (sockets.makeClientRoom()) {
+            if (socketLimiter.makeRoomForClient()) {
                 resumeAccepting();
             } else {
                 loop.schedule(this::retryAccepting, ACCEPT_RETRY_MS, TimeUnit.MILLISECONDS);
@@ -298,7 +298,7 @@
     /** Starts accepting again if there is room; called when a socket has been closed. */
     private void resumeAccepting() {
         if (listeningChannel != null && listeningChannel.isOpen() && !listeningChannel.config().isAutoRead()
-                && sockets.isClientRoom()) {
+                && socketLimiter.hasRoomForClient()) {
             listeningChannel.config().setAutoRead(true);
         }
     }
@@ -309,7 +309,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // Without a pause the selector would report the same connection over and over.
             pauseAccepting();
-            sockets.closeIdle();
+            socketLimiter.closeIdleConnection();
         }
     }
 }
--- a/src/main/java/cedarrelay/node/Config.java
+++ b/src/main/java/cedarrelay/node/Config.java
@@ -24,17 +24,17 @@
  * @param listen address on which the node accepts clients
  * @param discovery address of the discovery agent
  * @param seed seed of the node's random choices
- * @param sockets maximum number of file descriptors that the process may hold
- * @param connIdleUs idle time in microseconds after which servers close a connection
+ * @param maxDescriptors maximum number of file descriptors that the process may hold
+ * @param serverIdleTimeoutUs idle time in microseconds after which servers close a connection
  * @param settings settings of the balancer
- * @param known server list to start with; empty with revision 0 if the file has none
+ * @param knownServers server list to start with; empty with revision 0 if the file has none
  */
-record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        long connIdleUs, Settings settings, ServerList known) {
+record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int maxDescriptors,
+        long serverIdleTimeoutUs, Settings settings, ServerList knownServers) {
 
-    private static final int DEFAULT_SOCKETS = 1_024;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1_024;
     /** The reserve, one client and one server. */
-    private static final int MIN_SOCKETS = Sockets.RESERVE + 2;
+    private static final int MIN_DESCRIPTORS = SocketLimiter.RESERVED_DESCRIPTORS + 2;
     private static final String DISCOVERY_VARIABLE = "LB_DISCOVERY";
     private static final String DEFAULT_CONN_IDLE_US = "15000000";
 
@@ -64,23 +64,24 @@
      *
      * @throws IllegalArgumentException as {@link #read}
      */
-    static Config reread(Map<String, String> environment) {
+    static Config readForReload(Map<String, String> environment) {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
         withoutDiscovery.remove(DISCOVERY_VARIABLE);
         return read(withoutDiscovery);
     }
 
     /**
-     * Returns this configuration with {@code sockets} lowered to the system's limit of open files. A limit
-     * too low for serving a single client is ignored: on such systems it bounds only files and not sockets,
-     * so the configured number applies. If descriptors run out anyway, each failure is handled as it occurs.
+     * Returns this configuration with {@code maxDescriptors} lowered to the system's limit of open files. A
+     * limit too low for serving a single client is ignored: on such systems it bounds only files and not
+     * sockets, so the configured number applies. If descriptors run out anyway, each failure is handled as it
+     * occurs.
      *
      * @param descriptors the system's limit
      */
-    Config within(int descriptors) {
+    Config withDescriptorLimit(int descriptors) {
         return new Config(listen, discovery, seed,
-                descriptors < MIN_SOCKETS ? sockets : Math.min(sockets, descriptors), connIdleUs, settings,
-                known);
+                descriptors < MIN_DESCRIPTORS ? maxDescriptors : Math.min(maxDescriptors, descriptors),
+                serverIdleTimeoutUs, settings, knownServers);
     }
 
     /**
@@ -98,14 +99,14 @@
         }
         Map<String, String> values = flatten(requireObject(json, "settings"));
         Settings settings = BootInfo.read(values);
-        ServerList known = json.has("known") ? ServerList.fromJson(json.get("known"))
+        ServerList knownServers = json.has("known") ? ServerList.fromJson(json.get("known"))
                 : new ServerList(0, true, List.of());
         return new Config(ServerList.parseAddress(requireText(environment, "LB_LISTEN", json, "listen")),
                 ServerList.parseAddress(requireText(environment, DISCOVERY_VARIABLE, json, "discovery")),
                 seed(json),
-                sockets(json),
+                maxDescriptors(json),
                 parseWhole(values.getOrDefault("limits.connIdleUs", DEFAULT_CONN_IDLE_US)),
-                settings, known);
+                settings, knownServers);
     }
 
     private static JsonObject requireObject(JsonObject parent, String name) {
@@ -141,12 +142,12 @@
         }
     }
 
-    private static int sockets(JsonObject json) {
+    private static int maxDescriptors(JsonObject json) {
         JsonElement sockets = json.has("limits") ? requireObject(json, "limits").get("sockets") : null;
-        long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_SOCKETS
+        long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_MAX_DESCRIPTORS
                 : parseWhole(sockets.getAsString());
-        if (value < MIN_SOCKETS) {
-            throw new IllegalArgumentException("limits.sockets is less than " + MIN_SOCKETS);
+        if (value < MIN_DESCRIPTORS) {
+            throw new IllegalArgumentException("limits.sockets is less than " + MIN_DESCRIPTORS);
         }
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
--- a/src/main/java/cedarrelay/node/Descriptors.java
+++ b/src/main/java/cedarrelay/node/DescriptorLimit.java
@@ -6,16 +6,16 @@
 import java.util.stream.Stream;
 
 /** Reads how many files and sockets the system lets this process open, which may be fewer than configured. */
-final class Descriptors {
+final class DescriptorLimit {
     private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
     private static final String OPEN_FILES_ROW = "Max open files";
 
-    private Descriptors() { }
+    private DescriptorLimit() { }
 
     /** Returns the soft limit of open files; {@link Integer#MAX_VALUE} if it is unlimited or unknown. */
-    static int limit() {
+    static int maxOpenFiles() {
         try (Stream<String> lines = Files.lines(LIMITS_FILE)) {
-            return limit(lines);
+            return maxOpenFiles(lines);
         } catch (IOException e) {
             // Not a Linux system, or /proc is not readable: only the configured limit applies.
             return Integer.MAX_VALUE;
@@ -23,7 +23,7 @@
     }
 
     /** Reads the limit from a table whose columns are name, soft limit, hard limit and unit. */
-    static int limit(Stream<String> lines) {
+    static int maxOpenFiles(Stream<String> lines) {
         return lines.filter(line -> line.startsWith(OPEN_FILES_ROW))
                 .map(line -> line.substring(OPEN_FILES_ROW.length()).trim().split(" +")[0])
                 .filter(value -> value.matches("\\d{1,9}")).mapToInt(Integer::parseInt)
--- a/src/main/java/cedarrelay/node/Main.java
+++ b/src/main/java/cedarrelay/node/Main.java
@@ -54,12 +54,12 @@
         } catch (IllegalArgumentException e) {
             exit("bad configuration: " + e.getMessage(), BAD_CONFIG_EXIT_CODE);
         }
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, PunctualIo.newFactory());
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, RoundedUpIoHandler.newFactory());
         EventLoop loop = group.next();
         Node[] startedNode = new Node[1];
         // Before anything else, as an unhandled SIGHUP ends the process. The event loop runs tasks in order,
         // so a reload requested now runs after the node has started.
-        Hangup.handle(() -> loop.execute(() -> reload(startedNode[0], environment)));
+        SighupHandler.install(() -> loop.execute(() -> reload(startedNode[0], environment)));
         loop.execute(() -> startedNode[0] = start(environment, group, loop));
     }
 
@@ -67,7 +67,8 @@
     private static Node start(Map<String, String> environment, EventLoopGroup group, EventLoop loop) {
         Node node;
         try {
-            node = new Node(Config.read(environment).within(Descriptors.limit()), loop);
+            node = new Node(Config.read(environment).withDescriptorLimit(DescriptorLimit.maxOpenFiles()),
+                    loop);
         } catch (IllegalArgumentException e) {
             exit("bad configuration: " + e.getMessage(), BAD_CONFIG_EXIT_CODE);
             return null;
@@ -84,7 +85,7 @@
     /** Reloads the configuration file. An unusable file is logged and ignored: the node keeps serving. */
     private static void reload(Node node, Map<String, String> environment) {
         try {
-            node.reload(Config.reread(environment));
+            node.reload(Config.readForReload(environment));
         } catch (RuntimeException e) {
             LOG.log(Level.WARNING, "configuration not reloaded, the previous one stays in use: {0}",
                     e.getMessage());
@@ -93,8 +94,8 @@
 
     /** Runs the warm-up on a node with a sample configuration, then lets the process end. */
     private static void warmUp() {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, PunctualIo.newFactory());
-        Hangup.handle(() -> { });
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, RoundedUpIoHandler.newFactory());
+        SighupHandler.install(() -> { });
         Node node = new Node(Config.parse(WARM_UP_CONFIG, Map.of()), group.next());
         group.next().execute(() -> node.start(group, WARM_UP_REQUESTS, DISCOVERY_WAIT_MS,
                 group::shutdownGracefully));
--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -77,7 +77,7 @@
     private final Config config;
     private final EventLoop loop;
     private final Balancer balancer;
-    private final Sockets sockets;
+    private final SocketLimiter socketLimiter;
     private final ServerPool pool;
     private final MembershipGate gate;
     private final Discovery discovery;
@@ -277,14 +277,14 @@
         config.settings().zones.forEach(z -> zoneIndexes.put(z, zoneIndexes.size()));
         balancer = new ServiceQBalancer(config.settings(), config.seed(), this);
         loopLag = new EventLoopLag(loop);
-        sockets = new Sockets(config.sockets());
+        socketLimiter = new SocketLimiter(config.maxDescriptors());
         gate = new MembershipGate(loop, metrics, !config.settings().listOnRequest,
                 config.settings().drainGraceUs, loopLag::lagUs, this::resume);
-        pool = new ServerPool(loop, sockets, config.settings().connectTimeoutUs, config.connIdleUs(),
-                ServerPool.QUARANTINE_US, gate::mayWrite);
-        clientListener = new ClientListener(loop, sockets, loopLag,
+        pool = new ServerPool(loop, socketLimiter, config.settings().connectTimeoutUs,
+                config.serverIdleTimeoutUs(), ServerPool.QUARANTINE_US, gate::mayWrite);
+        clientListener = new ClientListener(loop, socketLimiter, loopLag,
                 new ClientRequest.Parser(config.settings()), this::acceptRequest, metrics);
-        discovery = new Discovery(loop, config.discovery(), config.known().revision(),
+        discovery = new Discovery(loop, config.discovery(), config.knownServers().revision(),
                 config.settings().listOnRequest ? Discovery.IDLE_TIMEOUT_MS : Discovery.RESPONSE_TIMEOUT_MS,
                 Discovery.IDLE_TIMEOUT_MS, this);
     }
@@ -306,7 +306,7 @@
         loop.schedule(() -> {
             // If the event loop lags, discovery's response may not have been read yet.
             discovery.readAvailable();
-            useFirstList(ListKind.CACHED, config.known());
+            useFirstList(ListKind.CACHED, config.knownServers());
         }, listWaitMs, TimeUnit.MILLISECONDS);
         onReady = whenReady;
         ChannelFuture binding = clientListener.listen(group, config.listen());
@@ -317,7 +317,8 @@
                 LOG.log(Level.INFO,
                         "listening on {0}, random seed {1}, known server list: revision {2}, {3} servers",
                         binding.channel().localAddress(), Long.toHexString(config.seed()),
-                        Long.toString(config.known().revision()), config.known().entries().size());
+                        Long.toString(config.knownServers().revision()),
+                        config.knownServers().entries().size());
                 String token = Long.toHexString(new SplittableRandom(config.seed()).nextLong());
                 clientListener.setWarmUpToken(token);
                 new WarmUp(loop, config, (InetSocketAddress) binding.channel().localAddress(), token,
@@ -361,7 +362,7 @@
     /** Starts as a warm-up node: uses the configured list, has no listening address and no subscription. */
     void startAsWarmUpNode() {
         isWarmUpNode = true;
-        applyList(ListKind.CACHED, config.known());
+        applyList(ListKind.CACHED, config.knownServers());
     }
 
     /** Sets up a client connection without a socket, for the warm-up. */
@@ -635,7 +636,7 @@
         if (listInUse) {
             applyList(list.isFull() ? ListKind.FULL : ListKind.CHANGES, list);
         } else {
-            useFirstList(ListKind.FULL, config.known().apply(list));
+            useFirstList(ListKind.FULL, config.knownServers().apply(list));
         }
     }
 
--- a/src/main/java/cedarrelay/node/PunctualIo.java
+++ b/src/main/java/cedarrelay/node/RoundedUpIoHandler.java
@@ -14,20 +14,20 @@
  * the nearest millisecond, so the event loop can wake up to half a millisecond early and then spins until the
  * timer is due. On a node with queued requests, with a timer every few milliseconds, this wastes CPU time.
  */
-final class PunctualIo implements IoHandler {
+final class RoundedUpIoHandler implements IoHandler {
     /** With the half millisecond that Netty adds, this rounds a part of a millisecond up to a whole one. */
     private static final long ROUND_UP_NS = TimeUnit.MILLISECONDS.toNanos(1) / 2 - 1;
 
     private final IoHandler delegate;
 
-    private PunctualIo(IoHandler delegate) {
+    private RoundedUpIoHandler(IoHandler delegate) {
         this.delegate = delegate;
     }
 
     /** Returns a factory for {@code MultiThreadIoEventLoopGroup}, in place of {@link NioIoHandler}'s own. */
     static IoHandlerFactory newFactory() {
         IoHandlerFactory factory = NioIoHandler.newFactory();
-        return executor -> new PunctualIo(factory.newHandler(executor));
+        return executor -> new RoundedUpIoHandler(factory.newHandler(executor));
     }
 
     @Override
--- a/src/main/java/cedarrelay/node/ServerPool.java
+++ b/src/main/java/cedarrelay/node/ServerPool.java
@@ -156,7 +156,7 @@
     }
 
     private final EventLoop loop;
-    private final Sockets sockets;
+    private final SocketLimiter socketLimiter;
     private final Bootstrap bootstrap;
     private final long maxIdleNs;
     private final long quarantineNs;
@@ -165,31 +165,32 @@
     private final BooleanSupplier mayWrite;
 
     /** Creates a pool that may write at any time; for the parameters see the other constructor. */
-    ServerPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long connIdleUs, long quarantineUs) {
-        this(loop, sockets, connectTimeoutUs, connIdleUs, quarantineUs, () -> true);
+    ServerPool(EventLoop loop, SocketLimiter socketLimiter, long connectTimeoutUs, long serverIdleTimeoutUs,
+            long quarantineUs) {
+        this(loop, socketLimiter, connectTimeoutUs, serverIdleTimeoutUs, quarantineUs, () -> true);
     }
 
     /**
      * Creates a pool that checks before the first byte of each request whether it may be written now. If not,
      * the attempt waits for {@link #resume}.
      *
-     * @param connIdleUs after how long the servers close an idle connection, in microseconds
+     * @param serverIdleTimeoutUs after how long the servers close an idle connection, in microseconds
      * @param quarantineUs how long a connection is not reused after a response, in microseconds
      * @param mayWrite the check; it may apply a new server list and so call {@link #update}
      */
-    ServerPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long connIdleUs, long quarantineUs,
-            BooleanSupplier mayWrite) {
+    ServerPool(EventLoop loop, SocketLimiter socketLimiter, long connectTimeoutUs, long serverIdleTimeoutUs,
+            long quarantineUs, BooleanSupplier mayWrite) {
         this.loop = loop;
         this.mayWrite = mayWrite;
-        this.sockets = sockets;
+        this.socketLimiter = socketLimiter;
         quarantineNs = TimeUnit.MICROSECONDS.toNanos(quarantineUs);
         // Half the servers' idle timeout: a request written while the server closes its connection is lost,
         // and the pool can't tell whether it has run.
-        maxIdleNs = TimeUnit.MICROSECONDS.toNanos(connIdleUs) / 2;
+        maxIdleNs = TimeUnit.MICROSECONDS.toNanos(serverIdleTimeoutUs) / 2;
         bootstrap = new Bootstrap().group(loop).disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000))
                 .option(ChannelOption.TCP_NODELAY, true);
-        sockets.serverSide(this::closeOldestIdle);
+        socketLimiter.registerServerSide(this::closeOldestIdle);
         idleSweep = loop.scheduleWithFixedDelay(this::closeExpiredIdle, IDLE_SWEEP_INTERVAL_MS,
                 IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
@@ -350,7 +351,7 @@
     private void openConnection(Server server) {
         int generation = server.generation;
         server.pendingConnects++;
-        if (!sockets.addServer()) {
+        if (!socketLimiter.tryAddServer()) {
             connectFailed(server, generation);
             return;
         }
@@ -359,12 +360,12 @@
             channel = new NioSocketChannel();
         } catch (ChannelException e) {
             // Most likely out of file descriptors: closing an idle connection lets the next connect succeed.
-            sockets.removeServer();
-            sockets.closeIdle();
+            socketLimiter.removeServer();
+            socketLimiter.closeIdleConnection();
             connectFailed(server, generation);
             return;
         }
-        channel.closeFuture().addListener(closed -> sockets.removeServer());
+        channel.closeFuture().addListener(closed -> socketLimiter.removeServer());
         Connection connection = new Connection(server, generation, channel);
         bootstrap.clone().channelFactory(() -> channel).handler(new ChannelInitializer<SocketChannel>() {
             @Override
--- a/src/main/java/cedarrelay/node/Hangup.java
+++ b/src/main/java/cedarrelay/node/SighupHandler.java
@@ -8,8 +8,8 @@
  * use of {@code sun.misc.Signal} causes a compiler warning that cannot be suppressed; so it is used by
  * reflection.
  */
-final class Hangup {
-    private Hangup() { }
+final class SighupHandler {
+    private SighupHandler() { }
 
     /**
      * Runs the action on each SIGHUP, on a thread of its own. From this call on, the signal no longer ends
@@ -18,7 +18,7 @@
      * @throws IllegalStateException if the runtime has no {@code sun.misc.Signal} or does not allow the
      * handler
      */
-    static void handle(Runnable action) {
+    static void install(Runnable action) {
         InvocationHandler invocationHandler = (proxy, method, args) -> switch (method.getName()) {
             case "handle" -> {
                 action.run();
@@ -26,7 +26,7 @@
             }
             case "equals" -> proxy == args[0];
             case "hashCode" -> System.identityHashCode(proxy);
-            default -> "Hangup";
+            default -> "SighupHandler";
         };
         try {
             Class<?> signalType = Class.forName("sun.misc.Signal");
--- a/src/main/java/cedarrelay/node/Sockets.java
+++ b/src/main/java/cedarrelay/node/SocketLimiter.java
@@ -6,10 +6,10 @@
  * Keeps the number of open sockets, to clients and to servers together, below the process's limit of file
  * descriptors. Closes idle connections to make room before the system refuses a descriptor.
  */
-final class Sockets {
+final class SocketLimiter {
     /** Descriptors reserved for the runtime's own files and selector, the listening socket, discovery, and
      * sockets whose close has not released the descriptor yet. */
-    static final int RESERVE = 64;
+    static final int RESERVED_DESCRIPTORS = 64;
     /** Maximum share of client connections in the descriptors above the reserve; the requests of clients need
      * connections to servers. */
     private static final double MAX_CLIENTS_SHARE = 0.75;
@@ -32,9 +32,9 @@
     private int clients;
     private int servers;
 
-    /** Takes the process's limit of file descriptors, {@link #RESERVE} included. */
-    Sockets(int limit) {
-        maxSockets = Math.max(2, limit - RESERVE);
+    /** Takes the process's limit of file descriptors, {@link #RESERVED_DESCRIPTORS} included. */
+    SocketLimiter(int limit) {
+        maxSockets = Math.max(2, limit - RESERVED_DESCRIPTORS);
         maxClients = Math.max(1, (int) (MAX_CLIENTS_SHARE * maxSockets));
         closeAfterResponseThreshold = (int) (CLOSE_AFTER_RESPONSE_SHARE * limit);
         closeIdleThreshold = Math.min(maxClients, (int) (CLOSE_IDLE_SHARE * limit));
@@ -43,31 +43,31 @@
     /**
      * Registers the client side.
      *
-     * @param closeIdleConnection closes one idle client connection; false if there is none
+     * @param closeOneIdle closes one idle client connection; false if there is none
      * @param whenRoomAvailable runs after each closed connection, when there may be room for another client
      */
-    void clientSide(BooleanSupplier closeIdleConnection, Runnable whenRoomAvailable) {
-        closeIdleClient = closeIdleConnection;
+    void registerClientSide(BooleanSupplier closeOneIdle, Runnable whenRoomAvailable) {
+        closeIdleClient = closeOneIdle;
         onRoomAvailable = whenRoomAvailable;
     }
 
     /** Registers how to close one idle server connection; the supplier returns false if there is none. */
-    void serverSide(BooleanSupplier closeIdleConnection) {
-        closeIdleServer = closeIdleConnection;
+    void registerServerSide(BooleanSupplier closeOneIdle) {
+        closeIdleServer = closeOneIdle;
     }
 
     /** Whether one more client connection stays within the limits. */
-    boolean isClientRoom() {
+    boolean hasRoomForClient() {
         return clients < maxClients && clients + servers < maxSockets;
     }
 
     /** Whether there are so many client connections that idle ones should be closed. */
-    boolean areClientsMany() {
+    boolean shouldCloseIdleClients() {
         return clients > closeIdleThreshold;
     }
 
     /** Whether there are so many client connections that each should be closed after its response. */
-    boolean areClientsCrowded() {
+    boolean shouldCloseAfterResponse() {
         return clients > closeAfterResponseThreshold;
     }
 
@@ -81,14 +81,14 @@
      *
      * @return whether another client connection may be accepted
      */
-    boolean makeClientRoom() {
+    boolean makeRoomForClient() {
         // Several connections are accepted at once, so the count may exceed the limit by more than one.
         boolean closed = true;
-        while (!isClientRoom() && closed) {
+        while (!hasRoomForClient() && closed) {
             // At the limit of client connections, closing a server connection would make no room.
-            closed = clients >= maxClients ? closeIdleClient.getAsBoolean() : closeIdle();
+            closed = clients >= maxClients ? closeIdleClient.getAsBoolean() : closeIdleConnection();
         }
-        return isClientRoom();
+        return hasRoomForClient();
     }
 
     /** Counts a closed client connection and announces the room. */
@@ -102,8 +102,8 @@
      *
      * @return false if there is no room; the connection is not counted then and must not be opened
      */
-    boolean addServer() {
-        if (clients + servers >= maxSockets && !closeIdle()) {
+    boolean tryAddServer() {
+        if (clients + servers >= maxSockets && !closeIdleConnection()) {
             return false;
         }
         servers++;
@@ -120,7 +120,7 @@
      * Closes one idle connection; false if there is none. Prefers a server connection: closing a client
      * connection can race with the client's next request, while only this node sends requests to a server.
      */
-    boolean closeIdle() {
+    boolean closeIdleConnection() {
         return closeIdleServer.getAsBoolean() || closeIdleClient.getAsBoolean();
     }
 }
--- a/src/main/java/cedarrelay/node/WarmUp.java
+++ b/src/main/java/cedarrelay/node/WarmUp.java
@@ -27,7 +27,7 @@
     /** Carries the token that marks a request of the warm-up. */
     static final String TOKEN_HEADER = "X-Rehearsal";
     private static final int CONCURRENT_CLIENTS = 4;
-    private static final int SOCKET_LIMIT = Sockets.RESERVE + 64;
+    private static final int SOCKET_LIMIT = SocketLimiter.RESERVED_DESCRIPTORS + 64;
 
     private final EventLoop loop;
     private final Config config;
@@ -59,7 +59,7 @@
         String zone = nodeConfig.settings().zones.isEmpty() ? "" : nodeConfig.settings().zones.get(0);
         ServerList nodeAsServer = new ServerList(0, true, List.of(
                 new ServerList.Entry("self", nodeAddress, zone, 0, ServerState.READY, 1, 0)));
-        config = new Config(nodeAddress, nodeAddress, 1, SOCKET_LIMIT, nodeConfig.connIdleUs(),
+        config = new Config(nodeAddress, nodeAddress, 1, SOCKET_LIMIT, nodeConfig.serverIdleTimeoutUs(),
                 nodeConfig.settings(), nodeAsServer);
         warmUpNode = new Node(config, loop);
     }
--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -120,7 +120,7 @@
             firstWritten.countDown();
         });
         ServerPool pool = loop.submit(() ->
-                new ServerPool(loop, new Sockets(1_024), 2_000_000, 60_000_000, 0)).get();
+                new ServerPool(loop, new SocketLimiter(1_024), 2_000_000, 60_000_000, 0)).get();
         loop.submit(() -> pool.update(ServerList.parse(Fixture.listMessage(1, true, "Ready", server)))).get();
         LinkedBlockingQueue<Result> results = new LinkedBlockingQueue<>();
         ServerPool.AttemptOwner owner = new ServerPool.AttemptOwner() {
--- a/src/test/java/cedarrelay/node/NodeProcess.java
+++ b/src/test/java/cedarrelay/node/NodeProcess.java
@@ -90,7 +90,7 @@
     }
 
     /** Sends a signal to the process, by its name without the prefix SIG. */
-    void signal(String name) throws Exception {
+    void sendSignal(String name) throws Exception {
         if (new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor() != 0) {
             throw new AssertionError("cannot send a signal to the node process");
         }
@@ -101,7 +101,7 @@
     }
 
     /** Waits for the process to exit; false if it still runs after the time. */
-    boolean awaitEnd(long ms) throws InterruptedException {
+    boolean awaitExit(long ms) throws InterruptedException {
         return process.waitFor(ms, TimeUnit.MILLISECONDS);
     }
 
--- a/src/test/java/cedarrelay/node/NodeTest.java
+++ b/src/test/java/cedarrelay/node/NodeTest.java
@@ -376,7 +376,7 @@
     @Test
     void unusedConnectionsAreClosedBeforeOneWithAPartialRequest() throws Exception {
         JsonObject json = Fixture.config(discovery, firstServer);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 8);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketLimiter.RESERVED_DESCRIPTORS + 8);
         int port = start(json);
         client = connect(port);
         assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", 1, "", ""))));
@@ -397,7 +397,7 @@
     @Test
     void newConnectionsAcceptedTogetherDoNotEvictOneAnother() throws Exception {
         JsonObject json = Fixture.config(discovery, firstServer);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 8);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketLimiter.RESERVED_DESCRIPTORS + 8);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -433,7 +433,7 @@
     @Test
     void anIdleConnectionIsClosedWhenManyAreOpen() throws Exception {
         JsonObject json = Fixture.config(discovery, firstServer);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 80);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketLimiter.RESERVED_DESCRIPTORS + 80);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         // More than 144 / 6 = 24 connections count as many; 25 still fit under the limit.
@@ -452,7 +452,7 @@
     @Test
     void keepAliveEndsWhenThereAreTooManyConnections() throws Exception {
         JsonObject json = Fixture.config(discovery, firstServer);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 56);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketLimiter.RESERVED_DESCRIPTORS + 56);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         // Keep-alive ends above 120 / 4 = 30 connections.
@@ -494,7 +494,7 @@
     @Test
     void idleConnectionsAreClosedAtTheSocketLimit() throws Exception {
         JsonObject json = Fixture.config(discovery, firstServer);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 8);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketLimiter.RESERVED_DESCRIPTORS + 8);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/cedarrelay/node/PunctualIoTest.java
+++ b/src/test/java/cedarrelay/node/RoundedUpIoHandlerTest.java
@@ -15,8 +15,8 @@
 
 /** An idle event loop blocks until its next timer is due, instead of waking up early and spinning. */
 @Timeout(60)
-class PunctualIoTest {
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, PunctualIo.newFactory());
+class RoundedUpIoHandlerTest {
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, RoundedUpIoHandler.newFactory());
 
     @AfterEach
     void close() throws Exception {
@@ -43,7 +43,7 @@
 
     @Test
     void runDoesNotReturnBeforeTheTimerIsDue() {
-        IoHandler io = PunctualIo.newFactory().newHandler(group.next());
+        IoHandler io = RoundedUpIoHandler.newFactory().newHandler(group.next());
         io.initialize();
         for (int tenths = 1; tenths < 30; tenths++) {
             long dueNs = System.nanoTime() + 100_000L * tenths;
--- a/src/test/java/cedarrelay/node/ServerPoolTest.java
+++ b/src/test/java/cedarrelay/node/ServerPoolTest.java
@@ -93,9 +93,9 @@
     }
 
     private ServerPool pool(String address, long idleTimeoutUs, long quarantineUs) throws Exception {
-        Sockets sockets = new Sockets(1_024);
+        SocketLimiter socketLimiter = new SocketLimiter(1_024);
         ServerPool pool = loop.submit(
-                () -> new ServerPool(loop, sockets, 300_000, idleTimeoutUs, quarantineUs)).get();
+                () -> new ServerPool(loop, socketLimiter, 300_000, idleTimeoutUs, quarantineUs)).get();
         applyList(pool, address, 0);
         return pool;
     }
--- a/src/test/java/cedarrelay/node/SoakNode.java
+++ b/src/test/java/cedarrelay/node/SoakNode.java
@@ -66,7 +66,7 @@
 
     /** Pauses the process (SIGSTOP, SIGCONT). */
     synchronized void pause(long ms) throws Exception {
-        process.signal("STOP");
+        process.sendSignal("STOP");
         // The process has been paused since a few milliseconds before this.
         long fromNs = System.nanoTime();
         try {
@@ -74,14 +74,14 @@
         } finally {
             // Recorded before the process continues, so that checks of its first sends find the pause.
             rules.recordPause(index, fromNs, System.nanoTime());
-            process.signal("CONT");
+            process.sendSignal("CONT");
         }
     }
 
     /** Kills the process (SIGKILL) and starts a new one after {@code downMs}. */
     synchronized void crash(long downMs) throws Exception {
         terminations.incrementAndGet();
-        process.signal("KILL");
+        process.sendSignal("KILL");
         process.close();
         terminations.incrementAndGet();
         TimeUnit.MILLISECONDS.sleep(downMs);
@@ -93,8 +93,8 @@
         checkCounters();
         boolean wasReady = process.isReady();
         stopSignalNs = System.nanoTime();
-        process.signal("TERM");
-        if (!process.awaitEnd(MAX_STOP_MS)) {
+        process.sendSignal("TERM");
+        if (!process.awaitExit(MAX_STOP_MS)) {
             rules.recordViolation("node " + index + " is still running " + MAX_STOP_MS
                     + " ms after SIGTERM");
         } else if (process.exitValue() == SIGTERM_EXIT_STATUS && !wasReady) {
