--- a/src/main/java/cedarrelay/benchlink/Main.java
+++ b/src/main/java/cedarrelay/benchlink/Main.java
@@ -14,8 +14,8 @@
      */
     public static void main(String[] args) {
         try {
-            new Link(System.in, new FileOutputStream(FileDescriptor.out)).run();
-        } catch (WireException | IOException e) {
+            new SimulatorAdapter(System.in, new FileOutputStream(FileDescriptor.out)).run();
+        } catch (ProtocolException | IOException e) {
             System.err.println("benchlink: " + e.getMessage());
             System.exit(2);
         }
--- a/src/main/java/cedarrelay/benchlink/Line.java
+++ b/src/main/java/cedarrelay/benchlink/ProtocolReader.java
@@ -10,10 +10,10 @@
  * separated by single spaces. Reuses one buffer and converts fields on demand, to allocate as little as
  * possible.
  *
- * <p>Methods that read a field without a default throw {@link WireException} if it is missing; all throw it
- * if the value is malformed.
+ * <p>Methods that read a field without a default throw {@link ProtocolException} if it is missing; all throw
+ * it if the value is malformed.
  */
-final class Line {
+final class ProtocolReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
@@ -29,12 +29,12 @@
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
 
-    Line(InputStream in) {
+    ProtocolReader(InputStream in) {
         this.in = in;
     }
 
     /** Moves to the next line, waiting for input as needed; false at the end of input. */
-    boolean next() throws IOException {
+    boolean nextLine() throws IOException {
         lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
         lineNumber++;
         int scanPos = lineStart;
@@ -108,7 +108,7 @@
     }
 
     /** Whether the line has this name. */
-    boolean is(String name) {
+    boolean hasName(String name) {
         return matches(lineStart, nameEnd, name);
     }
 
@@ -150,10 +150,10 @@
         return -1;
     }
 
-    private int requireField(String key) throws WireException {
+    private int requireField(String key) throws ProtocolException {
         int field = findField(key);
         if (field < 0) {
-            throw bad(key, "is missing");
+            throw malformed(key, "is missing");
         }
         return field;
     }
@@ -164,32 +164,32 @@
         return field < 0 ? null : value(field);
     }
 
-    String text(String key) throws WireException {
+    String text(String key) throws ProtocolException {
         return value(requireField(key));
     }
 
-    long whole(String key) throws WireException {
-        return whole(key, requireField(key));
+    long wholeNumber(String key) throws ProtocolException {
+        return wholeNumber(key, requireField(key));
     }
 
-    long whole(String key, long defaultValue) throws WireException {
+    long wholeNumber(String key, long defaultValue) throws ProtocolException {
         int field = findField(key);
-        return field < 0 ? defaultValue : whole(key, field);
+        return field < 0 ? defaultValue : wholeNumber(key, field);
     }
 
-    private long whole(String key, int field) throws WireException {
+    private long wholeNumber(String key, int field) throws ProtocolException {
         int pos = valueStart[field];
         int valueLimit = valueEnd[field];
         boolean negative = pos < valueLimit && buffer[pos] == '-';
         pos += negative ? 1 : 0;
         if (pos == valueLimit || valueLimit - pos > 18) {
-            throw bad(key, "is not a whole number");
+            throw malformed(key, "is not a whole number");
         }
         long value = 0;
         for (; pos < valueLimit; pos++) {
             int digit = buffer[pos] - '0';
             if (digit < 0 || digit > 9) {
-                throw bad(key, "is not a whole number");
+                throw malformed(key, "is not a whole number");
             }
             value = 10 * value + digit;
         }
@@ -197,7 +197,7 @@
     }
 
     /** A boolean, 1 or true, 0 or false; false if the line has no such field. */
-    boolean flag(String key) throws WireException {
+    boolean flag(String key) throws ProtocolException {
         int field = findField(key);
         if (field < 0 || matches(valueStart[field], valueEnd[field], "0")
                 || matches(valueStart[field], valueEnd[field], "false")) {
@@ -207,24 +207,24 @@
                 || matches(valueStart[field], valueEnd[field], "true")) {
             return true;
         }
-        throw bad(key, "is neither 1 nor 0: " + value(field));
+        throw malformed(key, "is neither 1 nor 0: " + value(field));
     }
 
-    double decimal(String key, double defaultValue) throws WireException {
+    double decimal(String key, double defaultValue) throws ProtocolException {
         int field = findField(key);
         return field < 0 ? defaultValue : decimal(key, value(field));
     }
 
-    private double decimal(String key, String text) throws WireException {
+    private double decimal(String key, String text) throws ProtocolException {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(key, "is not a number");
+            throw malformed(key, "is not a number");
         }
     }
 
     /** Comma-separated numbers, or null if the field is empty or missing. */
-    double[] row(String key) throws WireException {
+    double[] numbers(String key) throws ProtocolException {
         int field = findField(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
             return null;
@@ -238,17 +238,17 @@
     }
 
     /** A request id: 16 lower-case hex digits. */
-    long id(String key) throws WireException {
+    long requestId(String key) throws ProtocolException {
         int field = requireField(key);
         if (valueEnd[field] - valueStart[field] != 16) {
-            throw bad(key, "is not 16 hex digits");
+            throw malformed(key, "is not 16 hex digits");
         }
         long id = 0;
         for (int pos = valueStart[field]; pos < valueEnd[field]; pos++) {
             int b = buffer[pos];
             int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
             if (digit < 0) {
-                throw bad(key, "is not 16 hex digits");
+                throw malformed(key, "is not 16 hex digits");
             }
             id = id << 4 | digit;
         }
@@ -256,12 +256,13 @@
     }
 
     /** An error about one field of the current line. */
-    WireException bad(String field, String reason) {
-        return new WireException("line " + lineNumber + ": " + name() + ": field " + field + " " + reason);
+    ProtocolException malformed(String field, String reason) {
+        return new ProtocolException(
+                "line " + lineNumber + ": " + name() + ": field " + field + " " + reason);
     }
 
     /** An error about the current line. */
-    WireException bad(String reason) {
-        return new WireException("line " + lineNumber + ": " + reason);
+    ProtocolException malformed(String reason) {
+        return new ProtocolException("line " + lineNumber + ": " + reason);
     }
 }
--- a/src/main/java/cedarrelay/benchlink/Reply.java
+++ b/src/main/java/cedarrelay/benchlink/ProtocolWriter.java
@@ -11,7 +11,7 @@
  * Collects the actions of the balancer instances in the simulator's line protocol. The reply to a batch is
  * buffered and written by {@link #flush}, so malformed input never leaves a partial reply.
  */
-final class Reply implements Balancer.Actions {
+final class ProtocolWriter implements Balancer.Actions {
     private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
     private final OutputStream out;
@@ -19,12 +19,12 @@
     private int filled;
     private String node = "";
 
-    Reply(OutputStream out) {
+    ProtocolWriter(OutputStream out) {
         this.out = out;
     }
 
     /** Sets the node that the following actions belong to. */
-    void actFor(String instance) {
+    void setNode(String instance) {
         node = instance;
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** Reports an exception of the balancer; the simulator ends its run with this text. */
-    void fault(String message) {
+    void writeFault(String message) {
         beginAction("fault");
         writeNoteText(message);
     }
--- a/src/main/java/cedarrelay/benchlink/BootInfo.java
+++ b/src/main/java/cedarrelay/benchlink/SettingsReader.java
@@ -15,10 +15,10 @@
  * reported as missing. The simulator's adapter and the real node share this class, so that the balancer runs
  * with the same settings in both.
  */
-public final class BootInfo {
+public final class SettingsReader {
     private final Map<String, String> values;
 
-    private BootInfo(Map<String, String> values) {
+    private SettingsReader(Map<String, String> values) {
         this.values = values;
     }
 
@@ -29,7 +29,7 @@
      * names the path
      */
     public static Settings read(Map<String, String> values) {
-        return new BootInfo(values).settings();
+        return new SettingsReader(values).settings();
     }
 
     private Settings settings() {
--- a/src/main/java/cedarrelay/benchlink/Link.java
+++ b/src/main/java/cedarrelay/benchlink/SimulatorAdapter.java
@@ -23,7 +23,7 @@
  * protocol, calls the balancer instance of the node that each event names, and writes the instances' actions
  * back after each batch. It makes no decisions of its own.
  */
-final class Link {
+final class SimulatorAdapter {
     private static final int MAX_ROSTERS = 16;
 
     /** The balancer of one simulated node, with the indices of the names in its settings. */
@@ -34,15 +34,15 @@
     private record RosterEntry(String id, String zone, int cell, ServerState state, double weight,
             long startedAtUs) { }
 
-    private final Line line;
-    private final Reply reply;
+    private final ProtocolReader reader;
+    private final ProtocolWriter writer;
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<RosterEntry>> rosters = new ArrayList<>();
     private long nowUs;
 
-    Link(InputStream in, OutputStream out) {
-        line = new Line(in);
-        reply = new Reply(out);
+    SimulatorAdapter(InputStream in, OutputStream out) {
+        reader = new ProtocolReader(in);
+        writer = new ProtocolWriter(out);
         for (int i = 0; i < MAX_ROSTERS; i++) {
             rosters.add(null);
         }
@@ -51,48 +51,48 @@
     /**
      * Processes batches until the input ends.
      *
-     * @throws WireException if the input is malformed
+     * @throws ProtocolException if the input is malformed
      */
-    void run() throws IOException, WireException {
-        while (line.next()) {
-            if (line.name().isEmpty()) {
+    void run() throws IOException, ProtocolException {
+        while (reader.nextLine()) {
+            if (reader.name().isEmpty()) {
                 continue;
             }
-            if (!line.is("begin_batch")) {
-                throw line.bad("a batch must start with begin_batch, not " + line.name());
+            if (!reader.hasName("begin_batch")) {
+                throw reader.malformed("a batch must start with begin_batch, not " + reader.name());
             }
-            nowUs = line.whole("timeUs");
+            nowUs = reader.wholeNumber("timeUs");
             nextLine();
-            while (!line.is("eob")) {
+            while (!reader.hasName("eob")) {
                 handleEvent();
                 nextLine();
             }
-            reply.flush();
+            writer.flush();
         }
     }
 
-    private void nextLine() throws IOException, WireException {
-        if (!line.next()) {
-            throw line.bad("the input ends inside a batch");
+    private void nextLine() throws IOException, ProtocolException {
+        if (!reader.nextLine()) {
+            throw reader.malformed("the input ends inside a batch");
         }
     }
 
-    private void handleEvent() throws IOException, WireException {
-        if (line.is("roster")) {
+    private void handleEvent() throws IOException, ProtocolException {
+        if (reader.hasName("roster")) {
             readRoster();
             return;
         }
-        String node = line.text("node");
-        reply.actFor(node);
-        if (line.is("boot")) {
+        String node = reader.text("node");
+        writer.setNode(node);
+        if (reader.hasName("boot")) {
             startInstance(node);
             return;
         }
         Instance instance = instances.get(node);
         if (instance == null) {
-            throw line.bad("node", "names an instance that was never started: " + node);
+            throw reader.malformed("node", "names an instance that was never started: " + node);
         }
-        if (line.is("shutdown")) {
+        if (reader.hasName("shutdown")) {
             instances.remove(node);
             return;
         }
@@ -101,68 +101,69 @@
             call.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.writeFault(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
     /** Parses the current event completely before the balancer is called. */
-    private Runnable toBalancerCall(Instance instance) throws WireException {
+    private Runnable toBalancerCall(Instance instance) throws ProtocolException {
         Balancer balancer = instance.balancer;
         long atUs = nowUs;
-        if (line.is("resolved")) {
-            Outcome outcome = new Outcome(line.id("handle"), (int) line.whole("seqNo"), result(),
-                    line.whole("latencyUs", 0), line.flag("ended"), line.row("metrics"));
+        if (reader.hasName("resolved")) {
+            Outcome outcome = new Outcome(reader.requestId("handle"), (int) reader.wholeNumber("seqNo"),
+                    result(), reader.wholeNumber("latencyUs", 0), reader.flag("ended"), reader.numbers("metrics"));
             return () -> balancer.onOutcome(atUs, outcome);
         }
-        if (line.is("work_item")) {
-            String tenant = line.textOrNull("realm");
+        if (reader.hasName("work_item")) {
+            String tenant = reader.textOrNull("realm");
             boolean hasTenant = tenant != null && !tenant.equals("0");
-            Request request = new Request(line.id("handle"),
-                    indexOf(instance.classes, "lane", line.text("lane")),
-                    hasTenant ? indexOf(instance.tenants, "realm", tenant) : -1, line.whole("patienceLeftUs"),
-                    line.whole("workUs", 0), line.flag("resent"));
+            Request request = new Request(reader.requestId("handle"),
+                    indexOf(instance.classes, "lane", reader.text("lane")),
+                    hasTenant ? indexOf(instance.tenants, "realm", tenant) : -1,
+                    reader.wholeNumber("patienceLeftUs"), reader.wholeNumber("workUs", 0),
+                    reader.flag("resent"));
             return () -> balancer.onRequest(atUs, request);
         }
-        if (line.is("bell")) {
+        if (reader.hasName("bell")) {
             return () -> balancer.onWake(atUs);
         }
-        if (line.is("topology")) {
+        if (reader.hasName("topology")) {
             return toListCall(instance);
         }
-        if (line.is("client_gone")) {
-            long id = line.id("handle");
+        if (reader.hasName("client_gone")) {
+            long id = reader.requestId("handle");
             return () -> balancer.onClientDisconnected(atUs, id);
         }
-        if (line.is("first_byte")) {
-            long id = line.id("handle");
-            int attempt = (int) line.whole("seqNo");
+        if (reader.hasName("first_byte")) {
+            long id = reader.requestId("handle");
+            int attempt = (int) reader.wholeNumber("seqNo");
             return () -> balancer.onFirstByte(atUs, id, attempt);
         }
-        if (line.is("echo")) {
-            String server = line.text("server");
+        if (reader.hasName("echo")) {
+            String server = reader.text("server");
             Result result = result();
-            long latencyUs = line.whole("latencyUs", 0);
-            double[] report = line.row("metrics");
+            long latencyUs = reader.wholeNumber("latencyUs", 0);
+            double[] report = reader.numbers("metrics");
             return () -> balancer.onProbe(atUs, server, result, latencyUs, report);
         }
-        if (line.is("memo")) {
+        if (reader.hasName("memo")) {
             return () -> { };
         }
-        throw line.bad("unknown event " + line.name());
+        throw reader.malformed("unknown event " + reader.name());
     }
 
-    /** Starts an instance with the settings in the fields of the line. */
-    private void startInstance(String node) throws WireException {
-        long seed = line.whole("initSeed");
+    /** Starts an instance with the settings in the fields of the reader. */
+    private void startInstance(String node) throws ProtocolException {
+        long seed = reader.wholeNumber("initSeed");
         Map<String, String> values = new HashMap<>();
-        for (int i = 0; i < line.fieldCount(); i++) {
-            values.put(line.key(i), line.value(i));
+        for (int i = 0; i < reader.fieldCount(); i++) {
+            values.put(reader.key(i), reader.value(i));
         }
         Settings settings;
         try {
-            settings = BootInfo.read(values);
+            settings = SettingsReader.read(values);
         } catch (IllegalArgumentException e) {
-            throw line.bad("boot: field " + e.getMessage());
+            throw reader.malformed("boot: field " + e.getMessage());
         }
         Map<String, Integer> classes = new HashMap<>();
         settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
@@ -171,48 +172,48 @@
         Map<String, Integer> zones = new HashMap<>();
         settings.zones.forEach(z -> zones.put(z, zones.size()));
         try {
-            Balancer balancer = new ServiceQBalancer(settings, seed, reply);
+            Balancer balancer = new ServiceQBalancer(settings, seed, writer);
             instances.put(node, new Instance(balancer, classes, tenants, zones));
         } catch (IllegalArgumentException e) {
-            throw line.bad("boot: " + e.getMessage());
+            throw reader.malformed("boot: " + e.getMessage());
         }
     }
 
     /** Reads a list of servers, to which later topology events refer by its number. */
-    private void readRoster() throws IOException, WireException {
+    private void readRoster() throws IOException, ProtocolException {
         int number = rosterNumber();
-        long serverCount = line.whole("nodesList", 0);
+        long serverCount = reader.wholeNumber("nodesList", 0);
         List<RosterEntry> entries = new ArrayList<>();
         for (long i = 0; i < serverCount; i++) {
             nextLine();
-            if (!line.is("server")) {
-                throw line.bad("a line of a roster must be server, not " + line.name());
+            if (!reader.hasName("server")) {
+                throw reader.malformed("a line of a roster must be server, not " + reader.name());
             }
-            String state = line.text("lifecycle");
-            entries.add(new RosterEntry(line.text("server"), line.textOrNull("site"),
-                    (int) line.whole("block", 0),
+            String state = reader.text("lifecycle");
+            entries.add(new RosterEntry(reader.text("server"), reader.textOrNull("site"),
+                    (int) reader.wholeNumber("block", 0),
                     switch (state) {
                         case "Running" -> ServerState.READY;
                         case "Stopping" -> ServerState.DRAINING;
                         case "Deleted" -> ServerState.REMOVED;
-                        default -> throw line.bad("lifecycle", "is unknown: " + state);
-                    }, line.decimal("scale", 1), line.whole("sinceUs", 0)));
+                        default -> throw reader.malformed("lifecycle", "is unknown: " + state);
+                    }, reader.decimal("scale", 1), reader.wholeNumber("sinceUs", 0)));
         }
         rosters.set(number, entries);
     }
 
-    private int rosterNumber() throws WireException {
-        long number = line.whole("setId");
+    private int rosterNumber() throws ProtocolException {
+        long number = reader.wholeNumber("setId");
         if (number < 0 || number >= MAX_ROSTERS) {
-            throw line.bad("setId", "is not from 0 to " + (MAX_ROSTERS - 1));
+            throw reader.malformed("setId", "is not from 0 to " + (MAX_ROSTERS - 1));
         }
         return (int) number;
     }
 
     /** The call for a new server list, or for a list request that failed. */
-    private Runnable toListCall(Instance instance) throws WireException {
+    private Runnable toListCall(Instance instance) throws ProtocolException {
         long atUs = nowUs;
-        String kind = line.text("kind");
+        String kind = reader.text("kind");
         if (kind.equals("broken")) {
             return () -> instance.balancer.onListFailed(atUs);
         }
@@ -220,11 +221,11 @@
             case "patch" -> ListKind.CHANGES;
             case "whole" -> ListKind.FULL;
             case "stale_copy" -> ListKind.CACHED;
-            default -> throw line.bad("kind", "is unknown: " + kind);
+            default -> throw reader.malformed("kind", "is unknown: " + kind);
         };
         List<RosterEntry> roster = rosters.get(rosterNumber());
         if (roster == null) {
-            throw line.bad("setId", "names a roster that was never given");
+            throw reader.malformed("setId", "names a roster that was never given");
         }
         List<ServerEntry> entries = new ArrayList<>(roster.size());
         for (RosterEntry entry : roster) {
@@ -234,17 +235,17 @@
         return () -> instance.balancer.onServers(atUs, listKind, entries);
     }
 
-    private int indexOf(Map<String, Integer> names, String field, String name) throws WireException {
+    private int indexOf(Map<String, Integer> names, String field, String name) throws ProtocolException {
         Integer index = names.get(name);
         if (index == null) {
-            throw line.bad(field, "is not in the settings: " + name);
+            throw reader.malformed(field, "is not in the settings: " + name);
         }
         return index;
     }
 
     /** The result that the line's numeric code stands for. */
-    private Result result() throws WireException {
-        long code = line.whole("rc");
+    private Result result() throws ProtocolException {
+        long code = reader.wholeNumber("rc");
         return switch ((int) code) {
             case 10 -> Result.OK;
             case 20 -> Result.ERROR;
@@ -254,7 +255,7 @@
             case 60 -> Result.RESET;
             case 70 -> Result.CANCELLED;
             case 80 -> Result.NOT_SENT;
-            default -> throw line.bad("rc", "is unknown: " + code);
+            default -> throw reader.malformed("rc", "is unknown: " + code);
         };
     }
 }
--- a/src/main/java/cedarrelay/node/Config.java
+++ b/src/main/java/cedarrelay/node/Config.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 import cedarrelay.Balancer.Settings;
-import cedarrelay.benchlink.BootInfo;
+import cedarrelay.benchlink.SettingsReader;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -98,7 +98,7 @@
                     + e.getMessage(), e);
         }
         Map<String, String> values = flatten(requireObject(json, "settings"));
-        Settings settings = BootInfo.read(values);
+        Settings settings = SettingsReader.read(values);
         ServerList knownServers = json.has("known") ? ServerList.fromJson(json.get("known"))
                 : new ServerList(0, true, List.of());
         return new Config(ServerList.parseAddress(requireText(environment, "LB_LISTEN", json, "listen")),
@@ -162,9 +162,9 @@
     }
 
     /**
-     * Converts settings from JSON to the path=value pairs that {@link BootInfo} reads, as a simulator sends
-     * them: an array of objects becomes {@code path.count} and {@code path.0}, {@code path.1} and so on, any
-     * other array a comma-separated value. Null values are left out.
+     * Converts settings from JSON to the path=value pairs that {@link SettingsReader} reads, as a simulator
+     * sends them: an array of objects becomes {@code path.count} and {@code path.0}, {@code path.1} and so
+     * on, any other array a comma-separated value. Null values are left out.
      */
     static Map<String, String> flatten(JsonObject settings) {
         Map<String, String> values = new TreeMap<>();
--- a/src/test/java/cedarrelay/benchlink/LinkTest.java
+++ b/src/test/java/cedarrelay/benchlink/SimulatorAdapterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The adapter on short inputs in the simulator's line protocol. */
-class LinkTest {
+class SimulatorAdapterTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
             + " classes.0.giveUpUs=500000 classes.0.onTimeUs=100000 classes.0.repeat=safe unknown.key=1"
@@ -29,7 +29,7 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     private String run(String input) throws Exception {
-        new Link(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -84,7 +84,7 @@
         "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"})
     void malformedInputIsReportedByLineAndFieldWithoutAReply(String lines, String expected) {
         String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
-        WireException e = assertThrows(WireException.class, () -> run(input));
+        ProtocolException e = assertThrows(ProtocolException.class, () -> run(input));
         assertTrue(e.getMessage().contains(expected.trim()), e.getMessage());
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertEquals(-1, e.getMessage().indexOf('\n'));
