--- a/src/main/java/cedarrelay/benchlink/SimulatorAdapter.java
+++ b/src/main/java/cedarrelay/benchlink/SimulatorAdapter.java
@@ -111,7 +111,8 @@
         long atUs = nowUs;
         if (reader.hasName("resolved")) {
             Outcome outcome = new Outcome(reader.requestId("handle"), (int) reader.wholeNumber("seqNo"),
-                    result(), reader.wholeNumber("latencyUs", 0), reader.flag("ended"), reader.numbers("metrics"));
+                    result(), reader.wholeNumber("latencyUs", 0), reader.flag("ended"),
+                    reader.numbers("metrics"));
             return () -> balancer.onOutcome(atUs, outcome);
         }
         if (reader.hasName("work_item")) {
