--- a/src/main/java/cedarrelay/ServiceQBalancer.java
+++ b/src/main/java/cedarrelay/ServiceQBalancer.java
@@ -30,7 +30,7 @@
     /** Decay time of a relative latency, in multiples of the time in which a node uses each server once. */
     private static final double RELATIVE_LATENCY_DECAY_ROUNDS = 12;
     /** Remaining times within this share of the deadline are equal; network delay makes them differ. */
-    private static final double TIME_LEFT_TOLERANCE = 0.02;
+    private static final double REMAINING_TIME_TOLERANCE = 0.02;
     /** Share of a class with the same remaining time that marks first tries; most may be retries. */
     private static final double FIRST_TRY_MIN_SHARE = 0.2;
     /** Longest wait for probe results, as a share of the mean latency. */
@@ -134,7 +134,7 @@
     private long nextLogAt;
     private final Map<Long, PendingRequest> pendingById = new HashMap<>();
     private final ArrayList<PendingRequest> deferredQueue = new ArrayList<>();
-    private final PriorityQueue<PendingRequest> awaitingProbes =
+    private final PriorityQueue<PendingRequest> requestsAwaitingProbes =
             new PriorityQueue<>(Comparator.comparingLong(pending -> pending.probeWaitEndsAt));
     private long now;
     private long pendingWakeAt = Long.MAX_VALUE;
@@ -146,8 +146,8 @@
     private final int[] latencySamples;
     private final double[] quotaTokens;
     private final long[] quotaUsedAt;
-    private final long[] usualTimeLeftUs;
-    private final double[] usualTimeLeftShare;
+    private final long[] usualRemainingUs;
+    private final double[] usualRemainingShare;
     private final int[] requestCounts;
     /** By zone: time of the first send that has had no response since (0 if none), and of the last send. */
     private final long[] zoneUnansweredSince;
@@ -196,9 +196,9 @@
         meanLatencyUs = new double[settings.classes.size()];
         minMeanLatencyUs = new double[settings.classes.size()];
         latencySamples = new int[settings.classes.size()];
-        usualTimeLeftUs = new long[settings.classes.size()];
+        usualRemainingUs = new long[settings.classes.size()];
         requestCounts = new int[settings.classes.size()];
-        usualTimeLeftShare = new double[settings.classes.size()];
+        usualRemainingShare = new double[settings.classes.size()];
         zoneUnansweredSince = new long[settings.zones.size()];
         zoneLastSentAt = new long[settings.zones.size()];
         quotaTokens = new double[settings.tenants.size()];
@@ -339,13 +339,13 @@
         int classIndex = request.classIndex();
         long deadlineUs = settings.classes.get(classIndex).deadlineUs();
         long remainingUs = request.remainingUs() + request.readDelayUs();
-        boolean usual = Math.abs(remainingUs - usualTimeLeftUs[classIndex])
-                <= TIME_LEFT_TOLERANCE * deadlineUs;
-        usualTimeLeftShare[classIndex] += smoothing(++requestCounts[classIndex])
-                * ((usual ? 1 : 0) - usualTimeLeftShare[classIndex]);
-        if (!usual && usualTimeLeftShare[classIndex] < FIRST_TRY_MIN_SHARE) {
+        boolean usual = Math.abs(remainingUs - usualRemainingUs[classIndex])
+                <= REMAINING_TIME_TOLERANCE * deadlineUs;
+        usualRemainingShare[classIndex] += smoothing(++requestCounts[classIndex])
+                * ((usual ? 1 : 0) - usualRemainingShare[classIndex]);
+        if (!usual && usualRemainingShare[classIndex] < FIRST_TRY_MIN_SHARE) {
             // No remaining time is common enough yet to tell first tries from retries.
-            usualTimeLeftUs[classIndex] = remainingUs;
+            usualRemainingUs[classIndex] = remainingUs;
             return 0;
         }
         return usual ? 0 : Math.max(0, deadlineUs - remainingUs);
@@ -488,11 +488,12 @@
     }
 
     private void scheduleWake() {
-        while (!awaitingProbes.isEmpty() && !awaitingProbes.peek().awaitingProbes) {
-            awaitingProbes.poll();
+        while (!requestsAwaitingProbes.isEmpty() && !requestsAwaitingProbes.peek().awaitingProbes) {
+            requestsAwaitingProbes.poll();
         }
         long wakeAt = deferredQueue.isEmpty() ? listRequestAt : Math.min(listRequestAt, now + queueScanUs);
-        wakeAt = awaitingProbes.isEmpty() ? wakeAt : Math.min(wakeAt, awaitingProbes.peek().probeWaitEndsAt);
+        wakeAt = requestsAwaitingProbes.isEmpty() ? wakeAt
+                : Math.min(wakeAt, requestsAwaitingProbes.peek().probeWaitEndsAt);
         if (wakeAt < pendingWakeAt) {
             pendingWakeAt = Math.max(wakeAt, now + 1);
             actions.wakeAt(pendingWakeAt);
@@ -708,7 +709,7 @@
         pending.awaitingProbes = true;
         pending.probesPending = 2;
         pending.probeWaitEndsAt = now + waitUs;
-        awaitingProbes.add(pending);
+        requestsAwaitingProbes.add(pending);
         probe(first, pending);
         probe(second, pending);
         return true;
@@ -726,9 +727,10 @@
 
     /** Sends or defers the requests whose probes have had no result in time. */
     private void endExpiredProbeWaits() {
-        while (!awaitingProbes.isEmpty()
-                && (!awaitingProbes.peek().awaitingProbes || awaitingProbes.peek().probeWaitEndsAt <= now)) {
-            PendingRequest pending = awaitingProbes.poll();
+        while (!requestsAwaitingProbes.isEmpty()
+                && (!requestsAwaitingProbes.peek().awaitingProbes
+                        || requestsAwaitingProbes.peek().probeWaitEndsAt <= now)) {
+            PendingRequest pending = requestsAwaitingProbes.poll();
             if (pending.awaitingProbes) {
                 pending.awaitingProbes = false;
                 sendOrDefer(pending);
@@ -930,15 +932,18 @@
      */
     private double queuePriority(PendingRequest pending) {
         double utility = pending.requestClass.utility();
-        int tenant = pending.request.tenantIndex();
-        double nodeQuotaPerS = tenant < 0 ? 0 : settings.tenants.get(tenant).quotaPerS() / settings.nodes;
+        int tenantIndex = pending.request.tenantIndex();
+        double nodeQuotaPerS = tenantIndex < 0 ? 0
+                : settings.tenants.get(tenantIndex).quotaPerS() / settings.nodes;
         if (nodeQuotaPerS > 0) {
             double maxTokens = Math.max(1, nodeQuotaPerS * QUOTA_BURST_S);
-            double refillS = quotaUsedAt[tenant] == 0 ? QUOTA_BURST_S : (now - quotaUsedAt[tenant]) / 1e6;
-            quotaUsedAt[tenant] = now;
-            quotaTokens[tenant] = Math.min(maxTokens, quotaTokens[tenant] + nodeQuotaPerS * refillS);
-            if (quotaTokens[tenant] >= 1) {
-                quotaTokens[tenant]--;
+            double refillS = quotaUsedAt[tenantIndex] == 0 ? QUOTA_BURST_S
+                    : (now - quotaUsedAt[tenantIndex]) / 1e6;
+            quotaUsedAt[tenantIndex] = now;
+            quotaTokens[tenantIndex] =
+                    Math.min(maxTokens, quotaTokens[tenantIndex] + nodeQuotaPerS * refillS);
+            if (quotaTokens[tenantIndex] >= 1) {
+                quotaTokens[tenantIndex]--;
             } else {
                 utility *= settings.overQuotaUtilityShare;
             }
--- a/src/main/java/cedarrelay/node/Discovery.java
+++ b/src/main/java/cedarrelay/node/Discovery.java
@@ -193,7 +193,7 @@
 
         boolean isCurrent() {
             // The end of a connection is reported by a later task than the one that reads it, so the channel
-            // is asked itself.
+            // itself is checked.
             return !closed && channel.isActive() && headReceivedNs != 0 && !messageDecoder.isMidMessage()
                     && (bodyReceived || System.nanoTime() - headReceivedNs > FIRST_CONTENT_WAIT_NS);
         }
--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -469,13 +469,14 @@
             return;
         }
         long arrivedUs = toClockUs(exchange.arrivedNs());
-        long leftUs = request.remainingUs();
+        long remainingUs = request.remainingUs();
         PendingRequest accepted = new PendingRequest(exchange,
-                arrivedUs + leftUs - Math.min(RESPONSE_MARGIN_US, leftUs / RESPONSE_MARGIN_DIVISOR));
+                arrivedUs + remainingUs
+                        - Math.min(RESPONSE_MARGIN_US, remainingUs / RESPONSE_MARGIN_DIVISOR));
         pendingRequests.put(request.id(), accepted);
         metrics.increment(Counter.REQUESTS_TAKEN);
         LOG.log(Level.DEBUG, () -> "request " + hex(request.id()) + " accepted, class " + request.classIndex()
-                + ", " + leftUs / 1_000 + " ms left");
+                + ", " + remainingUs / 1_000 + " ms left");
         accepted.deadlineTimer = scheduleAt(arrivedUs + request.remainingUs(), () -> expire(accepted));
         exchange.onClientDisconnect(() -> onDisconnect(accepted));
         callBalancer(accepted, () -> {
@@ -703,8 +704,8 @@
     private void recordList(ListKind kind, ServerList list) {
         metrics.increment(Counter.LISTS_APPLIED);
         listRevision = list.revision();
-        String leaving = list.entries().stream().filter(t -> t.state() != ServerState.READY)
-                .limit(MAX_LOGGED_SERVERS).map(t -> t.id() + " " + t.state())
+        String leaving = list.entries().stream().filter(entry -> entry.state() != ServerState.READY)
+                .limit(MAX_LOGGED_SERVERS).map(entry -> entry.id() + " " + entry.state())
                 .collect(Collectors.joining(", "));
         LOG.log(leaving.isEmpty() ? Level.DEBUG : Level.INFO, () -> "server list revision "
                 + list.revision() + " (" + kind + "), entries: " + list.entries().size()
--- a/src/main/java/cedarrelay/node/WarmUp.java
+++ b/src/main/java/cedarrelay/node/WarmUp.java
@@ -98,11 +98,11 @@
     private ByteBuf createRequest(int number) {
         RequestClass requestClass = config.settings().classes.get(number % config.settings().classes.size());
         boolean safe = requestClass.retrySafety() == RetrySafety.SAFE;
-        String tenant = config.settings().tenants.isEmpty() ? ""
+        String tenantHeader = config.settings().tenants.isEmpty() ? ""
                 : "X-Org: " + config.settings().tenants.get(0).name() + "\r\n";
         return Unpooled.copiedBuffer((safe ? "GET" : "POST") + " /" + requestClass.name() + " HTTP/1.1\r\n"
                 + "Host: backend.local\r\nX-Txn: " + HexFormat.of().toHexDigits((long) number) + "\r\n"
-                + tenant
+                + tenantHeader
                 + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + TOKEN_HEADER + ": " + token + "\r\n"
                 + (safe ? "" : "Content-Length: 4\r\n")
                 + (requestClass.retrySafety() == RetrySafety.KEYED
