--- a/src/main/java/cedarrelay/Balancer.java
+++ b/src/main/java/cedarrelay/Balancer.java
@@ -307,7 +307,7 @@
         /** Grace period in which sends have to end after notice that a server drains or was removed. */
         public long drainGraceUs = 1_000_000;
         /**
-         * Share of its capacity that a server has at the beginning of its slow start, at least
+         * Least share of its capacity that a server has at the beginning of its slow start
          * ({@code rules.coldFrom} in the settings).
          */
         public double slowStartMinShare = 0.2;
--- a/src/main/java/cedarrelay/Server.java
+++ b/src/main/java/cedarrelay/Server.java
@@ -24,7 +24,7 @@
     int errorCount;
     /** Attempts of this node in flight. */
     int inFlight;
-    /** Moving share of its outcomes that failed otherwise than by a timeout or a rejection. */
+    /** Moving average of the share of its outcomes that failed, other than by a timeout or a rejection. */
     double failureShare;
     /** Whether a probe is in flight. */
     boolean probeInFlight;
--- a/src/main/java/cedarrelay/ServiceQBalancer.java
+++ b/src/main/java/cedarrelay/ServiceQBalancer.java
@@ -23,7 +23,7 @@
 
     /** How often a sample is repeated if its server may not be sent to, before all servers are scanned. */
     private static final int MAX_RESAMPLES = 3;
-    /** Exponent that damps weights lowered with load, because all nodes see the same weights, late. */
+    /** Exponent that damps weights lowered with load: all nodes react to the same outdated weights. */
     private static final double LOAD_WEIGHT_EXPONENT = 0.3;
     /** Smoothing factor of the relative latency and the failure share of a server. */
     private static final double SERVER_SMOOTHING = 0.3;
@@ -31,19 +31,23 @@
     private static final double RELATIVE_LATENCY_DECAY_ROUNDS = 12;
     /** Remaining times within this share of the deadline are equal; network delay makes them differ. */
     private static final double REMAINING_TIME_TOLERANCE = 0.02;
-    /** Share of a class with the same remaining time that marks first tries; most may be retries. */
+    /** Least share of a class's requests with the same remaining time for that time to mark first tries; low,
+     * because most requests may be retries. */
     private static final double FIRST_TRY_MIN_SHARE = 0.2;
     /** Longest wait for probe results, as a share of the mean latency. */
     private static final double PROBE_WAIT_SHARE = 0.25;
-    /** Share of late responses that probing two servers should avoid, to be weighed against its price. */
+    /** Expected share of the late and failed responses that probing two servers avoids; their utility is
+     * weighed against the price of the probes. */
     private static final double PROBE_SAVED_SHARE = 0.5;
-    /** Failure share above which a pair isn't probed: a server that fails fast also answers probes fast. */
+    /** Sum of the failure shares of two servers above which they aren't probed: a server that fails fast
+     * also answers probes fast. */
     private static final double PROBE_MAX_FAILURE_SHARE = 0.1;
     /** Relative latency that a failure counts as. */
     private static final double FAILURE_RELATIVE_LATENCY = 5;
-    /** Smaller differences of relative latency are ties, so that a server is retried as its own decays. */
+    /** Smaller differences of relative latency are ties, so that a slow server is picked again once its
+     * relative latency has decayed. */
     private static final double RELATIVE_LATENCY_TIE = 0.05;
-    /** Mean latencies without a response after which a zone is silent; a single response may be slow. */
+    /** Mean latencies without a response after which a zone counts as silent; one response may be slow. */
     private static final double ZONE_SILENT_LATENCIES = 3;
     /** On-time ratio below which a node throttles; mere overload doesn't lower the ratio this far. */
     private static final double THROTTLE_BELOW_RATIO = 0.3;
@@ -61,7 +65,8 @@
     private static final long MIN_QUEUE_SCAN_US = 5_000;
     /** Smoothing factor of the moving averages: they cover about the last 32 samples. */
     private static final double MEAN_SMOOTHING = 1.0 / 32;
-    /** Initial gap between served attempts: most nodes of a large fleet may have just started. */
+    /** Initial mean time between served attempts; long, as most nodes of a large fleet may just have
+     * started. */
     private static final double INITIAL_SERVED_GAP_US = 1_000_000;
     /** Initial concurrency limit of a server over all nodes: low enough for a server with one core. */
     private static final double INITIAL_LIMIT = 4;
@@ -69,21 +74,26 @@
     private static final double SLOW_TARGET_SHARE = 0.35;
     /** Increase of a server's limit, over all nodes, for a fast response. */
     private static final double LIMIT_INCREASE = 0.15;
-    /** Relative decrease of the limit for a slow response: at a limit of 4, one slow in four balances. */
+    /** Relative decrease of the limit for a slow response: at a limit of 4, one slow response in four
+     * balances the increases. */
     private static final double LIMIT_DECREASE = 0.1;
     /** A response is also slow above this multiple of the lowest mean latency of its class. */
     private static final double SLOW_LATENCY_FACTOR = 3;
-    /** Burst allowed above the sum of all limits, in square roots of that sum: random variation. */
+    /** Burst allowed above the sum of all limits, in square roots of that sum, to allow for random
+     * variation. */
     private static final double LIMIT_SUM_BURST = 2.5;
-    /** Growth of the lowest mean latency with each response, so that it follows a change of the work. */
+    /** Growth factor of the lowest mean latency for each response: it has to follow a change of the work. */
     private static final double MIN_LATENCY_DRIFT = 1.0001;
-    /** Exponent of the node count in limit changes: at 0 many nodes adapt too slowly, at 0.5 they congest. */
+    /** Exponent of the node count in the scale of limit changes: at 0 many nodes adapt too slowly, at 0.5
+     * congestion results. */
     private static final double LIMIT_NODES_EXPONENT = 0.25;
     /** Relative decrease of a limit after a timeout, a stronger sign of overload than a slow response. */
     private static final double LIMIT_TIMEOUT_DECREASE = 0.3;
-    /** A deferred request with fewer mean latencies left is late; under overload all wait until then. */
+    /** A deferred request with less time left than this many mean latencies is expected to be late; under
+     * overload all wait until then. */
     private static final double LATE_MEAN_LATENCIES = 2;
-    /** Upper bound of that, as a share of the latency target: if all servers are slow, some still wait. */
+    /** Upper bound of that time, as a share of the time from arrival to the latency target: if all servers
+     * are slow, some requests still wait. */
     private static final double LATE_MAX_SHARE = 0.8;
     /** Failures among the last {@link #HISTORY_SIZE} outcomes of a server that eject it. */
     private static final int EJECT_FAILURES = 4;
@@ -302,7 +312,8 @@
         sendTokens = Math.min(MAX_SEND_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLE_TOKENS_FIRST_TRY : 0));
         pending.queuePriority = queuePriority(pending);
         // If the event loop lags, the response will be read late too: a request that can't be on time would
-        // only take processor time from others. After a single pause this rejects too many requests.
+        // only take processor time from others. The response is expected to be delayed by half as much as the
+        // request was, since after a single pause the full delay would refuse too many requests.
         if (hasNoUtilityLeft(pending)
                 || pending.requestClass.lateUtilityShare() == 0 && request.readDelayUs() > queueScanUs
                 && pending.latencyTargetAt - now
@@ -351,7 +362,7 @@
         return usual ? 0 : Math.max(0, deadlineUs - remainingUs);
     }
 
-    /** Returns the smoothing factor for the newest of so many samples: a plain mean until there are many. */
+    /** Returns the smoothing factor for the newest of this many samples: a plain mean for the first ones. */
     private static double smoothing(int samples) {
         return Math.max(MEAN_SMOOTHING, 1.0 / samples);
     }
@@ -649,7 +660,7 @@
         return best;
     }
 
-    /** Recounts servers in use: requests stuck at ejected or removed ones must not use up the limits. */
+    /** Recounts servers in use: attempts stuck at ejected or removed ones don't count against the limits. */
     private void recountServersInUse() {
         limitSum = 0;
         totalInFlight = 0;
@@ -716,7 +727,7 @@
     }
 
     private void probe(Server server, PendingRequest pending) {
-        // They would pile up if a probe result got lost.
+        // Requests that no longer wait would pile up here if a probe result got lost.
         server.awaitingProbe.removeIf(waiting -> !waiting.awaitingProbes);
         server.awaitingProbe.add(pending);
         if (!server.probeInFlight) {
@@ -792,8 +803,8 @@
                 return server;
             }
         }
-        // Most are at their limit: one pass, in which each server replaces the pick with the probability
-        // of its share of the weight so far.
+        // Most servers are at their limit: one pass, in which each server replaces the pick with the
+        // probability of its share of the weight so far.
         Server picked = null;
         double totalWeight = 0;
         for (Server server : servers) {
@@ -959,8 +970,9 @@
     /**
      * Extension (concurrency limits): the limit of a server grows with a response well within the latency
      * target if the limit was reached while that request was in flight. It shrinks with slow responses and
-     * timeouts. It matters only if a pick would exceed the limit of the server, or the node the sum of all
-     * limits (with many nodes, the part of each in the limit of a server is below one).
+     * timeouts. It matters only where a send would exceed a bound: at each server its limit, but at least one
+     * attempt; for the node in total the sum of all limits, as with many nodes the part of each node in the
+     * limit of a server is below one.
      */
     private void adaptLimit(PendingRequest pending, int attempt, Outcome outcome) {
         Server server = pending.servers[attempt];
@@ -1010,8 +1022,9 @@
         if (isThrottled()) {
             return true;
         }
-        // The sum guards against a pause, when all that the limits allow is in flight at once. The allowance
-        // shrinks with the on-time ratio, to 0 at a half: bursts make an overloaded fleet collapse.
+        // The sum of the limits guards against a pause, when all that the limits allow is in flight at once.
+        // The allowance shrinks with the on-time ratio, to 0 at a half: bursts make an overloaded fleet
+        // collapse.
         double burstAllowance = LIMIT_SUM_BURST * Math.max(0, 2 * onTimeRatio - 1) * Math.sqrt(limitSum);
         if (isAtLimit(server) || totalInFlight > 0 && totalInFlight + 1 > limitSum + burstAllowance) {
             server.limitReachedAt = now;
@@ -1147,7 +1160,8 @@
                 && !hasNoUtilityLeft(pending) && now <= pending.retryAllowedUntil();
     }
 
-    /** Whether a server may get the next attempt: not ejected, silent or at its limit, and permitted. */
+    /** Whether a server may get the next attempt: not ejected, in a silent zone, just tried or at a
+     * limit, and permitted. */
     private boolean maySend(PendingRequest pending, Server server) {
         return !server.ejected && now >= server.classEjectedUntil[pending.request.classIndex()]
                 && !isZoneSilent(server, meanLatencyUs[pending.request.classIndex()])
@@ -1174,7 +1188,7 @@
         return server.zone == settings.myZone;
     }
 
-    /** Whether the request went there less than a mean latency ago: quick failures use up its attempts. */
+    /** Whether it was sent there less than a mean latency ago: quick failures would use up its attempts. */
     private boolean hasJustTried(PendingRequest pending, Server server) {
         for (int i = 0; i < pending.attemptCount; i++) {
             if (pending.servers[i] == server
--- a/src/main/java/cedarrelay/benchlink/ProtocolWriter.java
+++ b/src/main/java/cedarrelay/benchlink/ProtocolWriter.java
@@ -8,7 +8,7 @@
 import cedarrelay.Balancer;
 
 /**
- * Collects the actions of the balancer instances in the simulator's line protocol. The reply to a batch is
+ * Encodes the actions of the balancer instances in the simulator's line protocol. The reply to a batch is
  * buffered and written by {@link #flush}, so malformed input never leaves a partial reply.
  */
 final class ProtocolWriter implements Balancer.Actions {
--- a/src/main/java/cedarrelay/benchlink/SimulatorAdapter.java
+++ b/src/main/java/cedarrelay/benchlink/SimulatorAdapter.java
@@ -30,7 +30,8 @@
     private record Instance(Balancer balancer, Map<String, Integer> classes, Map<String, Integer> tenants,
             Map<String, Integer> zones) { }
 
-    /** A server of a roster. The zone is a name, since each instance numbers zones by its own settings. */
+    /** A server of a roster, as the protocol calls a server list. The zone is a name, since each instance
+     * numbers zones by its own settings. */
     private record RosterEntry(String id, String zone, int cell, ServerState state, double weight,
             long startedAtUs) { }
 
--- a/src/main/java/cedarrelay/node/ClientRequest.java
+++ b/src/main/java/cedarrelay/node/ClientRequest.java
@@ -146,7 +146,7 @@
             return Long.parseUnsignedLong(id, 16);
         }
 
-        /** Parses a number of at most so many ASCII digits; -1 if the text is null or anything else. */
+        /** Parses a number of at most this many ASCII digits; -1 if the text is null or anything else. */
         private static long parseDigits(String text, int maxDigits) {
             if (text == null || text.isEmpty() || text.length() > maxDigits) {
                 return -1;
--- a/src/main/java/cedarrelay/node/Discovery.java
+++ b/src/main/java/cedarrelay/node/Discovery.java
@@ -55,9 +55,9 @@
      * again at any moment.
      */
     private static final long REPEATED_CALL_TIMEOUT_MS = 150;
-    /** Among unanswered calls, one in so many has the full response timeout: discovery may just be slow. */
+    /** Among unanswered calls, one in this many has the full response timeout: discovery may just be slow. */
     private static final int CALLS_PER_FULL_TIMEOUT = 4;
-    /** If a response has no content so long after its head, discovery has no change to report. */
+    /** If a response has no content this long after its head, discovery has no change to report. */
     private static final long FIRST_CONTENT_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(100);
     /** Limit of reads in a row to empty the kernel's receive buffer. */
     private static final int MAX_CONSECUTIVE_READS = 256;
