--- a/src/test/java/cedarrelay/DispatchTest.java
+++ b/src/test/java/cedarrelay/DispatchTest.java
@@ -183,10 +183,10 @@
             node.completeAttempt(node.submit(TestNode.SAFE, 500_000), Result.OK, 10_000);
         }
         long onTime = node.submit(TestNode.SAFE, 900_000);
-        long late = node.submit(TestNode.SAFE, 700_000);
+        long afterTarget = node.submit(TestNode.SAFE, 700_000);
         assertEquals(1, node.attemptCount(onTime));
-        assertEquals(0, node.attemptCount(late));
-        assertTrue(node.refused.contains(late));
+        assertEquals(0, node.attemptCount(afterTarget));
+        assertTrue(node.refused.contains(afterTarget));
     }
 
     @Test
@@ -231,11 +231,11 @@
         for (int i = 0; i < 5; i++) {
             ids.add(node.submit(TestNode.SAFE));
         }
-        long valuable = node.submit(5);
+        long highUtility = node.submit(5);
         // Each of two nodes starts with a limit of two at each server: the fifth and sixth request wait.
         assertEquals(4, node.sent.size());
         node.completeAttempt(ids.get(0), Result.OK, 10_000);
-        assertEquals(valuable, node.sent.get(4).requestId());
+        assertEquals(highUtility, node.sent.get(4).requestId());
     }
 
     @Test
@@ -332,7 +332,7 @@
 
     @Test
     void aNodeAmongManyHasNoMoreInFlightThanTheSumOfItsLimitsAndABurst() {
-        // Guards against two faults: one request from each node at every server overloaded all servers, and
+        // Guards against two failures: one request from each node at every server overloaded all servers, and
         // a node restricted to exactly the sum of its limits deferred requests while servers were idle.
         Settings settings = TestNode.settings();
         settings.nodes = 32;
@@ -360,9 +360,9 @@
     }
 
     /**
-     * Guards against late responses under overload: while requests stayed deferred until only half a usual
-     * latency was left before the latency target, most responses came after it. Where servers usually take
-     * longer than the latency target, a request may still be deferred for a while.
+     * Guards against responses after the latency target under overload: while requests stayed deferred until
+     * only half a usual latency was left before the target, most responses came after it. Where servers
+     * usually take longer than the latency target, a request may still be deferred for a while.
      */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
@@ -386,7 +386,8 @@
         TestNode node = new TestNode().withServers(10);
         submitAndCompleteAll(node, 60, 20_000);
         int sentInOverload = submitAndCompleteAll(node, 200, 300_000);
-        assertTrue(sentInOverload <= 45, "requests sent while all responses are late: " + sentInOverload);
+        assertTrue(sentInOverload <= 45,
+                "requests sent while all responses miss the latency target: " + sentInOverload);
         submitAndCompleteAll(node, 150, 20_000);
         int sentAfterRecovery = submitAndCompleteAll(node, 100, 20_000);
         assertTrue(sentAfterRecovery >= 50,
@@ -427,7 +428,7 @@
         node.advanceClock(20_000);
         node.submit(TestNode.SAFE);
         assertEquals(22, node.sent.size(),
-                "a zone that was silent for two usual latencies was already held back");
+                "requests to a zone that was silent for two usual latencies were already deferred");
         node.advanceClock(20_000);
         node.submit(TestNode.SAFE);
         long deferred = node.submit(TestNode.SAFE);
@@ -440,8 +441,8 @@
 
     @Test
     void withACrossZonePriceARejectedRequestFailsOverInsideTheZoneFirst() {
-        // Guards against requests that a server of the own zone rejected and that went at once to a zone
-        // three times as far away.
+        // Guards against requests that fail over to a zone with three times the latency as soon as one server
+        // of their own zone has rejected them.
         Settings settings = TestNode.settings();
         settings.crossZonePrice = 0.01;
         TestNode node = new TestNode(settings, 3);
--- a/src/test/java/cedarrelay/FailureHandlingTest.java
+++ b/src/test/java/cedarrelay/FailureHandlingTest.java
@@ -316,7 +316,10 @@
         }
     }
 
-    /** A node among many that got half of its responses late, so that a probe gains more than it costs. */
+    /**
+     * A node among many that got half of its responses after the latency target, so that a probe gains more
+     * utility than its price.
+     */
     private static TestNode nodeAmongMany() {
         Settings settings = TestNode.settingsWithLateUtility();
         settings.nodes = 20;
@@ -349,8 +352,8 @@
 
     @Test
     void amongManyNodesTheServerThatAnswersAProbeFirstGetsTheRequest() {
-        // Guards against picking by outdated knowledge: servers get congested and recover faster than a node
-        // among many learns from its own requests.
+        // Guards against picking by outdated observations: servers get congested and recover faster than a
+        // node among many learns from its own requests.
         TestNode node = nodeAmongMany();
         long id = requestWaitingForProbes(node);
         String fasterServer = node.probedServers.get(1);
@@ -437,7 +440,7 @@
         }
         node.balancer.onRequest(node.nowUs, new Balancer.Request(500, TestNode.SAFE, 0, 900_000, 0, false,
                 130_000));
-        assertEquals(1, node.refused.size(), "sent although its response would be late");
+        assertEquals(1, node.refused.size(), "sent although its response would miss the latency target");
     }
 
     @Test
--- a/src/test/java/cedarrelay/FleetTest.java
+++ b/src/test/java/cedarrelay/FleetTest.java
@@ -27,7 +27,7 @@
  */
 class FleetTest {
     private static final long SERVER_START_US = 12_000_000;
-    /** Latencies are spread evenly from half to one and a half of this. */
+    /** Latencies are uniformly distributed between half of this and one and a half times this. */
     private static final long MEAN_LATENCY_US = 60_000;
     private static final long PROBE_LATENCY_US = 2_000;
     /** Each node receives a changed list within this time. */
@@ -134,7 +134,7 @@
     /**
      * Guards against oscillation: a list may lower each weight by the requests that its server had in flight
      * some time ago. If nodes followed such weights exactly, all would send to the servers that were idle
-     * then, and next all to others.
+     * then, and all to other ones after the next list.
      */
     @Test
     void delayedWeightsThatFollowLoadDoNotMakeAllNodesOscillateTogether() {
@@ -224,8 +224,8 @@
                 double limit = fleet.settings.overloadFactor * share * requestsPerSPerServer
                         * fleet.settings.overloadWindowUs / 1e6;
                 assertTrue(to - from <= limit + 2 * Math.sqrt(limit) + 2, (to - from) + " sends within "
-                        + "overloadWindowUs exceed the limit of " + limit + " at this part of slow start: "
-                        + warmUpProgress);
+                        + "overloadWindowUs exceed the limit of " + limit + " at this progress "
+                        + "of slow start: " + warmUpProgress);
             }
         }
         double evenShare = requestsPerSPerServer * newServers * fleet.settings.slowStartUs / 1e6;
--- a/src/test/java/cedarrelay/RandomEventsTest.java
+++ b/src/test/java/cedarrelay/RandomEventsTest.java
@@ -31,7 +31,7 @@
  * Runs long random sequences of events with fixed seeds and checks each action of the balancer against its
  * four rules:
  * <ol>
- * <li>each request gets exactly one final answer, before the client's deadline;
+ * <li>each request gets exactly one final response, before the client's deadline;
  * <li>no request is sent again where that could take effect twice;
  * <li>nothing is sent to a draining or removed server;
  * <li>a server in slow start is not overloaded.
@@ -73,7 +73,7 @@
         final Map<String, ServerEntry> servers = new LinkedHashMap<>();
         /** By server in slow start, for each send: its time and how many servers were ready then. */
         final Map<ServerEntry, List<long[]>> slowStartSends = new LinkedHashMap<>();
-        /** Outcomes to come: time, request id, number of the attempt, ordinal of the {@link Result}. */
+        /** Pending outcomes: time, request id, number of the attempt, ordinal of the {@link Result}. */
         final PriorityQueue<long[]> pendingOutcomes = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
         final PriorityQueue<PendingProbe> pendingProbes = new PriorityQueue<>(
                 Comparator.comparingLong(PendingProbe::atUs));
@@ -83,7 +83,7 @@
         long nowUs = 5_000_000;
         long nextRequestId = 1;
         long served;
-        int finalAnswers;
+        int finalResponses;
 
         RuleChecker(long seed) {
             random = new SplittableRandom(seed);
@@ -161,13 +161,13 @@
                     || (scope == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
-        private void recordFinalAnswer(long id, boolean refused) {
+        private void recordFinalResponse(long id, boolean refused) {
             trace.append(nowUs).append(refused ? " refuse " : " fail ").append(id).append('\n');
             TrackedRequest request = requests.get(id);
             assertNotNull(request);
-            assertFalse(request.ended, "rule 1: a request got a second final answer");
+            assertFalse(request.ended, "rule 1: a request got a second final response");
             assertTrue(nowUs <= request.deadlineAtUs + settings.tickUs,
-                    "rule 1: the final answer came after the client's deadline");
+                    "rule 1: the final response came after the client's deadline");
             if (refused && request.firstThatMayHaveRun() != null) {
                 assertTrue(request.requestClass.retrySafety() == RetrySafety.SAFE
                         || request.requestClass.retrySafety() == RetrySafety.KEYED
@@ -175,17 +175,17 @@
                         "rule 2: a request was refused although a retry may take effect twice");
             }
             request.ended = true;
-            finalAnswers++;
+            finalResponses++;
         }
 
         @Override
         public void refuse(long requestId, long retryAfterUs) {
-            recordFinalAnswer(requestId, true);
+            recordFinalResponse(requestId, true);
         }
 
         @Override
         public void fail(long requestId) {
-            recordFinalAnswer(requestId, false);
+            recordFinalResponse(requestId, false);
         }
 
         @Override
@@ -264,7 +264,7 @@
             attempt.result = Result.values()[(int) outcome[3]];
             if (attempt.result == Result.OK && !request.ended) {
                 request.ended = true;
-                finalAnswers++;
+                finalResponses++;
                 served++;
             }
             balancer.onOutcome(nowUs, new Outcome(outcome[1], (int) outcome[2], attempt.result,
@@ -286,7 +286,7 @@
                         pendingProbes.isEmpty() ? Long.MAX_VALUE : pendingProbes.peek().atUs());
                 nextUs = Math.min(nextUs, wakeTimesUs.isEmpty() ? Long.MAX_VALUE : wakeTimesUs.peek());
                 assertTrue(nextUs < Long.MAX_VALUE,
-                        "rule 1: requests are pending and the balancer has asked for no wake-up");
+                        "rule 1: requests are pending and the balancer has requested no wake-up");
                 nowUs = Math.max(nowUs, nextUs);
                 if (!pendingOutcomes.isEmpty() && pendingOutcomes.peek()[0] <= nowUs) {
                     reportOutcome(pendingOutcomes.poll());
@@ -326,7 +326,7 @@
             TrackedRequest request = requests.get(id);
             if (!request.ended) {
                 request.ended = true;
-                finalAnswers++;
+                finalResponses++;
             }
             balancer.onClientDisconnected(nowUs, id);
         }
@@ -337,14 +337,14 @@
     void allRulesHoldForRandomEventSequences(long seed) {
         RuleChecker checker = new RuleChecker(seed);
         checker.run(1_500);
-        assertEquals(checker.requests.size(), checker.finalAnswers,
-                "rule 1: each request must get exactly one final answer");
+        assertEquals(checker.requests.size(), checker.finalResponses,
+                "rule 1: each request must get exactly one final response");
         assertTrue(checker.served > 100,
-                "too few requests were served for the run to mean anything: " + checker.served);
-        // Rule 4: within any overloadWindowUs the node sends to a server in slow start no more than its part
-        // of overloadFactor times the server's capacity. Its part of a warm server's capacity is taken to be
+                "too few requests were served for a meaningful run: " + checker.served);
+        // Rule 4: within any overloadWindowUs the node sends to a server in slow start no more than its share
+        // of overloadFactor times the server's capacity. Its share of a warm server's capacity is taken to be
         // its rate of served requests over the ready servers (three at most, as many are always removed). Two
-        // requests more are allowed for chance.
+        // requests more are allowed for random variation.
         double servedPerS = checker.served / ((checker.nowUs - 5_000_000) / 1e6);
         Settings settings = checker.settings;
         checker.slowStartSends.forEach((server, sends) -> {
--- a/src/test/java/cedarrelay/RequestGuaranteesTest.java
+++ b/src/test/java/cedarrelay/RequestGuaranteesTest.java
@@ -20,7 +20,7 @@
 import cedarrelay.Balancer.Settings;
 
 /**
- * Tests what the balancer guarantees for each request: one final answer before the client's deadline, no
+ * Tests what the balancer guarantees for each request: one final response before the client's deadline, no
  * retry that could take effect twice, and nothing sent to a draining or removed server. Also how it requests
  * the server list and what it rejects.
  */
--- a/src/test/java/cedarrelay/SlowStartTest.java
+++ b/src/test/java/cedarrelay/SlowStartTest.java
@@ -67,8 +67,9 @@
     void theBudgetOfSlowStartDoesNotGrowWhenTheListLowersTheWeightsOfBusyServers() {
         // The list lowers weights with load: those of busy servers to a tenth, that of the idle one not.
         long sentAmongBusyServers = sentToNewServerAmong(0.1);
-        // A fifth of 100 requests a second, a fifth of which it can serve at first, for two seconds, times
-        // overloadFactor (three): 24 and, as it warms up, a little more would overload it.
+        // Its even share is a fifth of 100 requests a second, and at first it can serve a fifth of that. For
+        // two seconds, times overloadFactor (three), this is 24, and a little more as it warms up: more would
+        // overload it.
         assertTrue(sentAmongBusyServers >= 10 && sentAmongBusyServers <= 24,
                 "requests sent to the new server in two seconds: " + sentAmongBusyServers);
     }
@@ -88,7 +89,7 @@
 
     @Test
     void slowStartDoesNotDependOnWhereTheClockBegins() {
-        // Guards against counting the gap before the first response from the zero of the clock.
+        // Guards against counting the time before the first response from the zero of the clock.
         List<Long> sentToNewServer = new ArrayList<>();
         for (long startUs : new long[] {1_000_000, 900_000_000_000L}) {
             TestNode node = new TestNode();
--- a/src/test/java/cedarrelay/TestNode.java
+++ b/src/test/java/cedarrelay/TestNode.java
@@ -73,7 +73,8 @@
 
     /**
      * Settings with two zones, one tenant without a quota and five classes of requests, whose indexes are the
-     * constants above. Late answers earn nothing; cancelling and second copies are allowed, probes are not.
+     * constants above. A response after the latency target has no utility; attempts may be cancelled and run
+     * in parallel; probes are not allowed.
      */
     static Settings settings() {
         Settings settings = new Settings();
@@ -97,8 +98,8 @@
     }
 
     /**
-     * Settings under which an answer after the latency target still has half its utility, so that late
-     * requests are sent on.
+     * Settings under which a response after the latency target still has half its utility, so that requests
+     * are sent even after the target.
      */
     static Settings settingsWithLateUtility() {
         Settings settings = settings();
--- a/src/test/java/cedarrelay/benchlink/SimulatorAdapterTest.java
+++ b/src/test/java/cedarrelay/benchlink/SimulatorAdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on short inputs in the simulator's line protocol. */
+/** Tests the simulator's adapter with short inputs in its line protocol. */
 class SimulatorAdapterTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
@@ -21,10 +21,10 @@
     private static final String LIST = "roster setId=0 nodesList=1\n"
             + "server server=10.0.0.7:8003 site=z generationHw=k block=0 lifecycle=Running scale=1 extra=2\n"
             + "topology node=node-3 setId=0 generation=1 kind=stale_copy\n";
-    private static final String ITEM = "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view"
+    private static final String REQUEST = "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view"
             + " patienceLeftUs=240000"
             + " novel=x\n";
-    private static final String OPEN = "begin_batch timeUs=1000000\n";
+    private static final String BEGIN_BATCH = "begin_batch timeUs=1000000\n";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -40,7 +40,7 @@
 
     @Test
     void requestIsRoutedWithItsIdUnchanged() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+        String reply = run(BEGIN_BATCH + BOOT + LIST + REQUEST + "eob\n");
         assertTrue(reply.contains("route node=node-3 handle=b7c6f2075d3a91c4"
                 + " server=10.0.0.7:8003 untilUs=1240000\n"),
                 reply);
@@ -49,7 +49,8 @@
 
     @Test
     void outcomeOfAnAttemptReachesTheBalancerWhichDeclinesTheRequest() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
+        String reply = run(BEGIN_BATCH + BOOT + LIST + REQUEST
+                + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), reply);
     }
@@ -57,7 +58,8 @@
     @Test
     void declineCarriesRetryAdviceEvenIfTheSiteDoesNotForwardIt() throws Exception {
         String boot = BOOT.replace("\n", " limits.retryAfter=false limits.maxRetryAfterUs=750000\n");
-        String reply = run(OPEN + boot + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
+        String reply = run(BEGIN_BATCH + boot + LIST + REQUEST
+                + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4 retryInUs=750000\n"), reply);
     }
@@ -83,7 +85,7 @@
         "begin_batch timeUs=1;boot node=n initSeed=1 classes.count=1;eob | classes.0.",
         "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"})
     void malformedInputIsReportedByLineAndFieldWithoutAReply(String lines, String expected) {
-        String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
+        String input = lines.trim().replace("B;", BEGIN_BATCH + BOOT).replace(';', '\n') + "\n";
         ProtocolException e = assertThrows(ProtocolException.class, () -> run(input));
         assertTrue(e.getMessage().contains(expected.trim()), e.getMessage());
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
@@ -93,7 +95,7 @@
 
     @Test
     void exceptionInTheBalancerIsReportedAsAFault() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
+        String reply = run(BEGIN_BATCH + BOOT + LIST + REQUEST + REQUEST + "eob\n");
         assertTrue(reply.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), reply);
         assertTrue(reply.endsWith("next\n"));
     }
@@ -105,13 +107,14 @@
 
     @Test
     void instanceActsTheSameAloneAndBesideAnother() throws Exception {
-        String alone = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+        String alone = run(BEGIN_BATCH + BOOT + LIST + REQUEST + "eob\n");
         out.reset();
-        String together = run(OPEN + BOOT.replace("node-3", "node-5")
+        String besideAnother = run(BEGIN_BATCH + BOOT.replace("node-3", "node-5")
                 + LIST.replace("node=node-3", "node=node-5")
-                + BOOT + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
+                + BOOT + LIST + REQUEST.replace("node-3", "node-5") + REQUEST + "eob\n");
         StringBuilder ownActions = new StringBuilder();
-        together.lines().filter(l -> !l.contains("node-5")).forEach(l -> ownActions.append(l).append('\n'));
+        besideAnother.lines().filter(l -> !l.contains("node-5"))
+                .forEach(l -> ownActions.append(l).append('\n'));
         assertEquals(alone, ownActions.toString());
     }
 }
--- a/src/test/java/cedarrelay/node/DiscoveryTest.java
+++ b/src/test/java/cedarrelay/node/DiscoveryTest.java
@@ -78,20 +78,21 @@
     @Test
     void messagesAreReportedAndANewWatchContinuesAtTheLastRevision() throws Exception {
         String changes = Fixture.listMessage(42, false, "Ready", peer);
-        String whole = Fixture.listMessage(50, true, "Terminating", peer);
+        String fullList = Fixture.listMessage(50, true, "Terminating", peer);
         peer.setScript((socket, request) -> {
             Fixture.sendWatchHead(socket);
             Fixture.sendLine(socket, "");
-            Fixture.sendLine(socket, changes + "\n\n" + whole);
+            Fixture.sendLine(socket, changes + "\n\n" + fullList);
         });
         Discovery discovery = subscribe(20_000);
         assertEquals(ServerList.parse(changes), FakePeer.awaitNext(lists));
-        assertEquals(ServerList.parse(whole), FakePeer.awaitNext(lists));
+        assertEquals(ServerList.parse(fullList), FakePeer.awaitNext(lists));
         peer.nextRequest();
         // The new watch must not receive the same messages again: the revision would go back.
         peer.setScript(FakePeer.SILENT);
         group.next().submit(discovery::subscribe).get();
-        assertTrue(peer.nextRequest().contains("&after=50 "), "requests changes after the last revision");
+        assertTrue(peer.nextRequest().contains("&after=50 "),
+                "did not request the changes after the last revision");
         FakePeer.awaitNext(peer.closedConnections);
         assertTrue(failures.isEmpty(), "replacing a watch was reported as a failure");
     }
@@ -136,7 +137,7 @@
     void aTruncatedMessageEndsTheWatch() throws Exception {
         peer.setScript((socket, request) -> {
             Fixture.sendWatchHead(socket);
-            // A part of a message, and neither the rest nor the end of the line.
+            // The beginning of a message, without the end of its line.
             FakePeer.write(socket, "a\r\n{\"rev\":42,\r\n");
         });
         subscribe(LONGER_THAN_ANY_TEST_MS);
@@ -181,7 +182,7 @@
         EventLoop loop = group.next();
         CountDownLatch dataSent = new CountDownLatch(1);
         loop.execute(() -> {
-            // Both timers are due when the event loop runs on: first this one sends data, then the timeout
+            // Both timers are due when the event loop continues: first this one sends data, then the timeout
             // expires.
             loop.schedule(() -> {
                 Fixture.sendWatchHead(watch);
@@ -198,7 +199,7 @@
         loop.submit(discovery::close).get();
     }
 
-    /** Blocks the calling thread. */
+    /** Blocks the calling thread, here that of the event loop. */
     private static void blockLoop(int ms) {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         while (System.nanoTime() - endNs < 0) {
--- a/src/test/java/cedarrelay/node/DrainNotificationDeadlineTest.java
+++ b/src/test/java/cedarrelay/node/DrainNotificationDeadlineTest.java
@@ -22,19 +22,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests that a node that could not reach discovery stops sending to a draining server in time. However
- * earlier calls failed, a drain counts as notified 6 s after discovery becomes reachable; 0.5 s later no
- * request may be sent by the outdated list.
+ * Tests that a node that could not reach discovery stops sending to a draining server in time. However the
+ * earlier calls to discovery failed, a drain counts as notified 6 s after discovery becomes reachable; 0.5 s
+ * later no request may be sent by the outdated list.
  */
 @Timeout(120)
 class DrainNotificationDeadlineTest {
     private static final int NOTIFIED_AFTER_MS = 6_000;
-    /** How long a node waits for discovery before it uses the known list. */
+    /** How long a node waits for discovery before it uses the known list of its configuration. */
     private static final int STARTUP_WAIT_MS = 1_500;
     /** Calls that fail before one is answered, so that the delay between calls has grown by then. */
     private static final int FAILED_CALLS = 3;
 
-    /** A way in which a call can fail. */
+    /** A way in which a call to discovery can fail. */
     private enum Fault {
         RESET(FakePeer.RESET),
         ENDED(FakePeer.CLOSE),
@@ -85,7 +85,7 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Answers a call with the change of the list. */
+    /** Responds to a call with a list in which the server drains. */
     private void sendDrain(Socket watch, String call) throws IOException {
         Fixture.sendWatchHead(watch);
         Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", drainingServer));
--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -157,10 +157,10 @@
     void aRequestWhoseClientDisconnectedDuringLoopLagIsNotSent() throws Exception {
         int port = start();
         CountDownLatch disconnected = new CountDownLatch(1);
-        try (Socket keptClient = connect(port)) {
+        try (Socket stayingClient = connect(port)) {
             // Both connections have been used, so both requests are read in the iteration after the block.
-            FakePeer.write(keptClient, viewRequest(1));
-            FakePeer.readMessage(keptClient);
+            FakePeer.write(stayingClient, viewRequest(1));
+            FakePeer.readMessage(stayingClient);
             server.nextRequest();
             try (Socket leavingClient = connect(port)) {
                 FakePeer.write(leavingClient, viewRequest(2));
@@ -170,10 +170,10 @@
                 FakePeer.write(leavingClient, viewRequest(3));
             }
             disconnected.countDown();
-            FakePeer.write(keptClient, viewRequest(4));
-            assertTrue(FakePeer.readMessage(keptClient).startsWith("HTTP/1.1 200 "));
-            FakePeer.write(keptClient, viewRequest(5));
-            assertTrue(FakePeer.readMessage(keptClient).startsWith("HTTP/1.1 200 "));
+            FakePeer.write(stayingClient, viewRequest(4));
+            assertTrue(FakePeer.readMessage(stayingClient).startsWith("HTTP/1.1 200 "));
+            FakePeer.write(stayingClient, viewRequest(5));
+            assertTrue(FakePeer.readMessage(stayingClient).startsWith("HTTP/1.1 200 "));
         }
         assertEquals("0000000000000004", FakePeer.header(server.nextRequest(), "X-Txn"));
         assertEquals("0000000000000005", FakePeer.header(server.nextRequest(), "X-Txn"));
@@ -223,10 +223,10 @@
             server.setScript(FakePeer.respond("200 OK", "", "done"));
             other.setScript(FakePeer.respond("200 OK", "", "done"));
             // Requests of another client are sent later than a retry would be.
-            try (Socket next = connect(port)) {
+            try (Socket otherClient = connect(port)) {
                 for (int i = 2; i < 12; i++) {
-                    FakePeer.write(next, viewRequest(i));
-                    assertTrue(FakePeer.readMessage(next).startsWith("HTTP/1.1 200 "));
+                    FakePeer.write(otherClient, viewRequest(i));
+                    assertTrue(FakePeer.readMessage(otherClient).startsWith("HTTP/1.1 200 "));
                 }
             }
             assertTrue(untriedServer.receivedRequests.stream()
@@ -309,10 +309,10 @@
             disconnect(client, reset);
         }
         disconnected.countDown();
-        try (Socket next = connect(port)) {
+        try (Socket otherClient = connect(port)) {
             for (int i = 100; i < 110; i++) {
-                FakePeer.write(next, viewRequest(i));
-                assertTrue(FakePeer.readMessage(next).startsWith("HTTP/1.1 200 "));
+                FakePeer.write(otherClient, viewRequest(i));
+                assertTrue(FakePeer.readMessage(otherClient).startsWith("HTTP/1.1 200 "));
             }
         }
         assertTrue(server.receivedRequests.stream()
@@ -381,16 +381,16 @@
     @Test
     void requestsInKernelBuffersWhenTheNodeStopsAreAnswered() throws Exception {
         int port = start();
-        try (Socket keptClient = connect(port)) {
-            FakePeer.write(keptClient, viewRequest(1));
-            FakePeer.readMessage(keptClient);
+        try (Socket openClient = connect(port)) {
+            FakePeer.write(openClient, viewRequest(1));
+            FakePeer.readMessage(openClient);
             List<Socket> newClients = new ArrayList<>();
             CountDownLatch done = new CountDownLatch(1);
             CountDownLatch requestsSent = new CountDownLatch(1);
             loop.execute(() -> {
-                // Due in one iteration: the requests arrive, and then the time to accept any is over.
+                // Due in one iteration: the requests arrive, and then the node stops accepting connections.
                 loop.schedule(() -> {
-                    FakePeer.write(keptClient, viewRequest(2));
+                    FakePeer.write(openClient, viewRequest(2));
                     for (int i = 0; i < 100; i++) {
                         newClients.add(connect(port));
                         FakePeer.write(newClients.get(i), viewRequest(3 + i));
@@ -402,7 +402,7 @@
                 park(1_000);
             });
             await(requestsSent);
-            String response = FakePeer.readMessage(keptClient);
+            String response = FakePeer.readMessage(openClient);
             assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), response);
             for (Socket socket : newClients) {
                 response = FakePeer.readMessage(socket);
@@ -434,8 +434,8 @@
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch requestSent = new CountDownLatch(1);
         loop.execute(() -> {
-            // The next iteration runs the block, the tick and another pause, so that the following tick runs
-            // in the iteration that accepts the connection and finds no lag.
+            // The next iteration runs the blocking task, the tick and a delay, so that the following tick
+            // runs in the iteration that accepts the connection and finds no lag.
             loop.schedule(() -> {
                 blocked.countDown();
                 await(requestSent);
--- a/src/test/java/cedarrelay/node/FakePeer.java
+++ b/src/test/java/cedarrelay/node/FakePeer.java
@@ -19,7 +19,7 @@
     /** How long tests wait for something that must happen. */
     static final long TIMEOUT_S = 30;
 
-    /** The reaction to a request. */
+    /** What a peer does with a request. */
     interface Script {
         void run(Socket socket, String request) throws IOException, InterruptedException;
     }
--- a/src/test/java/cedarrelay/node/FaultSoakTest.java
+++ b/src/test/java/cedarrelay/node/FaultSoakTest.java
@@ -118,14 +118,14 @@
     }
 
     private void checkResults(long seed) throws Exception {
-        long sendsHeld = 0;
+        long sendsHeldBack = 0;
         for (SoakNode node : nodes) {
             node.awaitReady();
             node.checkCounters();
-            sendsHeld += node.metric("sends_held_total");
+            sendsHeldBack += node.metric("sends_held_total");
         }
         System.out.println("soak seed " + seed + ": " + rules.arrivals + " attempts, " + rules.served
-                + " served, " + rules.refused + " refused, " + rules.failed + " failed, " + sendsHeld
+                + " served, " + rules.refused + " refused, " + rules.failed + " failed, " + sendsHeldBack
                 + " held, violations " + rules.violations);
         if (!rules.violations.isEmpty()) {
             timeline.forEach(System.out::println);
--- a/src/test/java/cedarrelay/node/MainTest.java
+++ b/src/test/java/cedarrelay/node/MainTest.java
@@ -132,9 +132,9 @@
         Socket attempt = FakePeer.awaitNext(server.acceptedConnections);
         process.destroy();
         // Clients keep connecting for a while after SIGTERM and must be served.
-        Socket lateClient = connect();
-        FakePeer.write(lateClient, "GET /nothing HTTP/1.1\r\n\r\n");
-        assertTrue(FakePeer.readMessage(lateClient).startsWith("HTTP/1.1 404"),
+        Socket newClient = connect();
+        FakePeer.write(newClient, "GET /nothing HTTP/1.1\r\n\r\n");
+        assertTrue(FakePeer.readMessage(newClient).startsWith("HTTP/1.1 404"),
                 "a client that connected after SIGTERM is not served");
         assertNull(FakePeer.readMessage(idleClient), "the idle connection is not closed");
         assertTrue(process.isAlive(), "the process exited with a request pending");
@@ -188,7 +188,7 @@
         server.nextRequest();
         Socket attempt = FakePeer.awaitNext(server.acceptedConnections);
         process.destroy();
-        // SIGKILL may follow after 3.7 s; until then a client with a longer deadline is still owed a
+        // SIGKILL may follow after 3.7 s; until then a client with a longer deadline still needs its
         // response.
         assertFalse(process.waitFor(5, TimeUnit.SECONDS), "the process exited with a request pending");
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
@@ -257,12 +257,13 @@
         for (int i = 0; i < 200; i++) {
             clients.add(connect());
         }
-        // Idle connections are closed to make room, so each request gets a response; pending requests stay.
+        // Idle connections are closed to make room, so each request gets a response; those with pending
+        // requests stay open.
         Socket activeClient = clients.get(clients.size() - 1);
         FakePeer.write(activeClient, Fixture.request("GET", "/view", 1, "", ""));
         String response = FakePeer.readMessage(activeClient);
         assertTrue(response != null && response.startsWith("HTTP/1.1 "),
-                () -> response + " while descriptors are short: " + output());
+                () -> response + " while descriptors are exhausted: " + output());
         // Logging must not need a descriptor either.
         Files.writeString(file, "{");
         sendSighup();
@@ -298,14 +299,14 @@
                 Fixture.sendWatchHead(watch);
                 Fixture.sendLine(watch, Fixture.listMessage(42, true, "Ready", newServer));
             });
-            long discoveryBackNs = System.nanoTime();
+            long discoveryRespondsNs = System.nanoTime();
             for (int i = 1_000; newServer.receivedRequests.isEmpty(); i++) {
                 try (Socket activeClient = connect()) {
                     FakePeer.write(activeClient, Fixture.request("GET", "/view", i, "", ""));
                     String response = FakePeer.readMessage(activeClient);
                     assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
                 }
-                assertTrue(System.nanoTime() - discoveryBackNs < TimeUnit.SECONDS.toNanos(6),
+                assertTrue(System.nanoTime() - discoveryRespondsNs < TimeUnit.SECONDS.toNanos(6),
                         "the new server list is not in use in time");
             }
         }
@@ -410,16 +411,16 @@
         JsonObject badRepeat = Fixture.config(discovery, server);
         badRepeat.getAsJsonObject("settings").getAsJsonArray("classes").get(0).getAsJsonObject()
                 .addProperty("repeat", "perhaps");
-        Path broken = Files.createTempFile("node", ".json");
-        Files.writeString(broken, "{");
+        Path invalidJson = Files.createTempFile("node", ".json");
+        Files.writeString(invalidJson, "{");
         assertRejected(null, "LB_CONFIG");
         assertRejected("/nowhere/config.json", "LB_CONFIG");
-        assertRejected(broken.toString(), "JSON");
+        assertRejected(invalidJson.toString(), "JSON");
         assertRejected(Fixture.writeConfig(noSettings).toString(), "settings");
         assertRejected(Fixture.writeConfig(noSeed).toString(), "seed");
         assertRejected(Fixture.writeConfig(noClasses).toString(), "classes");
         assertRejected(Fixture.writeConfig(badRepeat).toString(), "classes.0.repeat is unknown: perhaps");
-        Files.delete(broken);
+        Files.delete(invalidJson);
     }
 
     /** Checks that the process exits with code 2 and one line that contains the text. */
--- a/src/test/java/cedarrelay/node/NodeTest.java
+++ b/src/test/java/cedarrelay/node/NodeTest.java
@@ -63,12 +63,12 @@
         return port;
     }
 
-    /** Starts a node that uses its known list after {@code startMs} without a response of discovery. */
-    private int start(JsonObject json, long startMs, CountDownLatch ready) throws Exception {
+    /** Starts a node that uses its known list if discovery sends none within {@code startWaitMs}. */
+    private int start(JsonObject json, long startWaitMs, CountDownLatch ready) throws Exception {
         EventLoop loop = group.next();
         Config config = Config.read(Map.of("LB_CONFIG", Fixture.writeConfig(json).toString()));
         Node node = loop.submit(() -> new Node(config, loop)).get();
-        Channel channel = loop.submit(() -> node.start(group, 8, startMs, ready::countDown)).get().sync()
+        Channel channel = loop.submit(() -> node.start(group, 8, startWaitMs, ready::countDown)).get().sync()
                 .channel();
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
@@ -282,21 +282,21 @@
     @Test
     void badInputIsAnswered4xxAndNeverForwarded() throws Exception {
         int port = start(Fixture.config(discovery, firstServer));
-        String good = Fixture.request("GET", "/view", 1, "", "");
+        String valid = Fixture.request("GET", "/view", 1, "", "");
         List<Map.Entry<Integer, String>> cases = new ArrayList<>(List.of(
-                Map.entry(404, good.replace("/view", "/nothing")),
-                Map.entry(404, good.replace("/view", "*")),
-                Map.entry(405, good.replace("GET", "POST")),
-                Map.entry(405, good.replace("GET", "DELETE")),
-                Map.entry(400, good.replace("X-Org: acme", "X-Org: nobody")),
-                Map.entry(400, good.replace("X-Txn: 0000000000000001\r\n", "")),
-                Map.entry(400, good.replace("X-Txn: 0000000000000001", "X-Txn: zz")),
-                Map.entry(400, good.replace("X-Remaining-Ms: " + Fixture.REMAINING_MS + "\r\n", "")),
-                Map.entry(400, good.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: -4")),
-                Map.entry(400, good.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: soon")),
+                Map.entry(404, valid.replace("/view", "/nothing")),
+                Map.entry(404, valid.replace("/view", "*")),
+                Map.entry(405, valid.replace("GET", "POST")),
+                Map.entry(405, valid.replace("GET", "DELETE")),
+                Map.entry(400, valid.replace("X-Org: acme", "X-Org: nobody")),
+                Map.entry(400, valid.replace("X-Txn: 0000000000000001\r\n", "")),
+                Map.entry(400, valid.replace("X-Txn: 0000000000000001", "X-Txn: zz")),
+                Map.entry(400, valid.replace("X-Remaining-Ms: " + Fixture.REMAINING_MS + "\r\n", "")),
+                Map.entry(400, valid.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: -4")),
+                Map.entry(400, valid.replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: soon")),
                 Map.entry(400, Fixture.request("POST", "/photo", 1, "", "")),
                 Map.entry(400, "COMPLETE NONSENSE\r\n\r\n"),
-                Map.entry(400, good.replace("\r\n\r\n", "\r\nno colon here\r\n\r\n")),
+                Map.entry(400, valid.replace("\r\n\r\n", "\r\nno colon here\r\n\r\n")),
                 Map.entry(400, order("Content-Length: 1\r\nContent-Length: 2\r\n", "xx")),
                 Map.entry(400, order("Content-Length: 1, 1\r\n", "x")),
                 Map.entry(400, order("Content-Length: +1\r\n", "x")),
@@ -309,19 +309,19 @@
                 Map.entry(413, Fixture.request("POST", "/order", 1, "Transfer-Encoding: chunked\r\n", "")
                         .replace("Content-Length: 0\r\n", "") + "10001\r\n" + "x".repeat(0x10001)
                         + "\r\n0\r\n\r\n"),
-                Map.entry(414, good.replace("/view", "/view/" + "x".repeat(9_000))),
-                Map.entry(431, good.replace("\r\n\r\n", "\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n"))));
+                Map.entry(414, valid.replace("/view", "/view/" + "x".repeat(9_000))),
+                Map.entry(431, valid.replace("\r\n\r\n", "\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n"))));
         for (Map.Entry<Integer, String> bad : cases) {
             client = connect(port);
             String response = roundTrip(bad.getValue());
-            String shown = bad.getValue().substring(0, Math.min(200, bad.getValue().length()));
-            assertEquals(bad.getKey(), status(response), shown);
+            String excerpt = bad.getValue().substring(0, Math.min(200, bad.getValue().length()));
+            assertEquals(bad.getKey(), status(response), excerpt);
             assertFalse(response.substring(response.indexOf("\r\n\r\n")).isBlank(),
-                    "no reason given: " + shown);
+                    "no reason given: " + excerpt);
             client.close();
         }
         client = connect(port);
-        assertEquals(200, status(roundTrip(good)));
+        assertEquals(200, status(roundTrip(valid)));
         assertEquals(1, firstServer.receivedRequests.size());
     }
 
@@ -333,9 +333,9 @@
     @Test
     void aRequestSmuggledByConflictingLengthsIsRejected() throws Exception {
         start(firstServer);
-        String hidden = Fixture.request("POST", "/order", 2, "", "");
-        String response = roundTrip(order("Content-Length: " + (5 + hidden.length())
-                + "\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + hidden));
+        String smuggled = Fixture.request("POST", "/order", 2, "", "");
+        String response = roundTrip(order("Content-Length: " + (5 + smuggled.length())
+                + "\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n" + smuggled));
         assertEquals(400, status(response));
         assertEquals("close", FakePeer.header(response, "Connection"));
         assertNull(FakePeer.readMessage(client), "the connection is still open");
@@ -363,12 +363,12 @@
     @Test
     void aConnectionWithoutACompleteRequestTimesOut() throws Exception {
         int port = start(Fixture.config(discovery, firstServer));
-        try (Socket silent = connect(port); Socket half = connect(port)) {
+        try (Socket silentClient = connect(port); Socket partialClient = connect(port)) {
             client = connect(port);
-            FakePeer.write(half, "GET /view HTTP/1.1\r\nX-Txn: ");
+            FakePeer.write(partialClient, "GET /view HTTP/1.1\r\nX-Txn: ");
             FakePeer.write(client, order("Content-Length: 10\r\n", "half"));
-            assertNull(FakePeer.readMessage(silent));
-            assertEquals(408, status(FakePeer.readMessage(half)));
+            assertNull(FakePeer.readMessage(silentClient));
+            assertEquals(408, status(FakePeer.readMessage(partialClient)));
             assertEquals(408, status(FakePeer.readMessage(client)));
         }
     }
@@ -382,14 +382,14 @@
         assertEquals(200, status(roundTrip(Fixture.request("GET", "/view", 1, "", ""))));
         String request = Fixture.request("GET", "/view", 2, "", "");
         FakePeer.write(client, request.substring(0, 30));
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> silentClients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            silent.add(connect(port));
+            silentClients.add(connect(port));
         }
-        assertNull(FakePeer.readMessage(silent.get(0)));
+        assertNull(FakePeer.readMessage(silentClients.get(0)));
         FakePeer.write(client, request.substring(30));
         assertEquals(200, status(FakePeer.readMessage(client)));
-        for (Socket socket : silent) {
+        for (Socket socket : silentClients) {
             socket.close();
         }
     }
--- a/src/test/java/cedarrelay/node/PausedProcessTest.java
+++ b/src/test/java/cedarrelay/node/PausedProcessTest.java
@@ -35,9 +35,9 @@
 class PausedProcessTest {
     /** Longer than the grace period of the fixture's settings, 500 ms, plus a tolerance of 50 ms. */
     private static final int PAUSE_MS = 700;
-    /** Longer than a node waits for discovery before it uses its known list. */
+    /** Longer than a node waits for discovery before it uses the known list of its configuration. */
     private static final int CALLS_FAIL_MS = 2_200;
-    /** Makes a message too long for a node to read it at once. */
+    /** So many servers that their message is too long for a node to read it at once. */
     private static final int LONG_MESSAGE_SERVERS = 1_500;
 
     private FakePeer discovery;
@@ -149,9 +149,9 @@
     }
 
     /**
-     * A fault seen in an incident: the connection of a decided send is established while the process is
-     * paused, and the drain arrives after it. Epoll reports events in order, so the node handles the
-     * connection first.
+     * A failure seen in an incident: the connection for a request that waits to be sent is established while
+     * the process is paused, and the drain arrives after it. Epoll reports events in order, so the node
+     * handles the connection first.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -181,7 +181,10 @@
         }
     }
 
-    /** Changes that discovery's agent has count as notified from the start, even if the first calls fail. */
+    /**
+     * Changes that discovery's agent has when the node starts count as notified then, even if the node's
+     * first calls fail.
+     */
     @Test
     void aNodeThatStartsWhileDiscoveryFailsSendsNothingByItsKnownList() throws Exception {
         JsonObject config = Fixture.config(discovery, drainingServer);
--- a/src/test/java/cedarrelay/node/ServerPoolTest.java
+++ b/src/test/java/cedarrelay/node/ServerPoolTest.java
@@ -224,13 +224,13 @@
         RecordingOwner first = new RecordingOwner(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
-        Socket resting = FakePeer.awaitNext(server.acceptedConnections);
+        Socket quarantined = FakePeer.awaitNext(server.acceptedConnections);
         server.nextRequest();
         RecordingOwner second = new RecordingOwner(11);
         start(pool, second);
         assertTrue(server.receivedRequests.isEmpty(), "sent on a connection in quarantine");
-        FakePeer.write(resting, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
-        assertSame(resting, FakePeer.awaitNext(server.closedConnections));
+        FakePeer.write(quarantined, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
+        assertSame(quarantined, FakePeer.awaitNext(server.closedConnections));
         // The attempt that waited for this connection gets another one.
         assertEquals("hello", new String(second.report().response().body(), StandardCharsets.UTF_8));
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
@@ -239,15 +239,15 @@
     @Test
     void aConnectionCarriesTheNextWaitingAttemptAfterItsQuarantine() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US, 50_000);
-        RecordingOwner[] callers = {new RecordingOwner(1), new RecordingOwner(2), new RecordingOwner(3)};
-        start(pool, callers[0]);
-        assertEquals(Result.OK, callers[0].report().result());
+        RecordingOwner[] owners = {new RecordingOwner(1), new RecordingOwner(2), new RecordingOwner(3)};
+        start(pool, owners[0]);
+        assertEquals(Result.OK, owners[0].report().result());
         loop.submit(() -> {
-            pool.start("s", callers[1]);
-            return pool.start("s", callers[2]);
+            pool.start("s", owners[1]);
+            return pool.start("s", owners[2]);
         }).get();
-        assertEquals(Result.OK, callers[1].report().result());
-        assertEquals(Result.OK, callers[2].report().result());
+        assertEquals(Result.OK, owners[1].report().result());
+        assertEquals(Result.OK, owners[2].report().result());
         FakePeer.awaitNext(server.acceptedConnections);
         FakePeer.awaitNext(server.acceptedConnections);
         assertTrue(server.acceptedConnections.isEmpty(),
@@ -317,21 +317,22 @@
         assertHangingConnectFails(attempt -> loop.execute(() -> attempt.abandon(Result.TIMEOUT)));
     }
 
-    private void assertHangingConnectFails(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Linux drops connection attempts while the queue of connections not yet accepted is full.
+    private void assertHangingConnectFails(Consumer<ServerPool.Attempt> whileConnecting) throws Exception {
+        try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            // Linux drops connection attempts while the queue of connections not yet accepted is fullServer.
             List<Socket> queued = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 Socket socket = new Socket();
                 queued.add(socket);
                 try {
-                    socket.connect(full.getLocalSocketAddress(), 200);
+                    socket.connect(fullServer.getLocalSocketAddress(), 200);
                 } catch (java.net.SocketTimeoutException e) {
                     break;
                 }
             }
             RecordingOwner owner = new RecordingOwner(10);
-            meanwhile.accept(start(pool("127.0.0.1:" + full.getLocalPort(), IDLE_TIMEOUT_US), owner));
+            whileConnecting.accept(
+                    start(pool("127.0.0.1:" + fullServer.getLocalPort(), IDLE_TIMEOUT_US), owner));
             assertEquals(Result.CONNECT_FAILED, owner.report().result());
             for (Socket socket : queued) {
                 socket.close();
@@ -342,17 +343,17 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aConnectionClosedAsSoonAsEstablishedIsReportedAsConnectFailed(boolean reset) throws Exception {
-        try (ServerSocket closing = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            ServerPool pool = pool("127.0.0.1:" + closing.getLocalPort(), IDLE_TIMEOUT_US);
+        try (ServerSocket closingServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            ServerPool pool = pool("127.0.0.1:" + closingServer.getLocalPort(), IDLE_TIMEOUT_US);
             RecordingOwner owner = new RecordingOwner(10);
             CountDownLatch ended = new CountDownLatch(1);
             loop.execute(() -> {
                 pool.start("s", owner);
-                // Blocks the event loop, so that it learns of the connection's start and end at the same
+                // Blocks the event loop, so that it sees the connection's start and end at the same
                 // time.
                 loop.submit(() -> ended.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
             });
-            Socket accepted = closing.accept();
+            Socket accepted = closingServer.accept();
             accepted.setSoLinger(reset, 0);
             accepted.close();
             ended.countDown();
@@ -414,20 +415,20 @@
     @Test
     void aTimeoutOfAnUnresponsiveServerClosesItsIdleConnections() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_TIMEOUT_US);
-        RecordingOwner[] callers = {new RecordingOwner(1), new RecordingOwner(2)};
+        RecordingOwner[] owners = {new RecordingOwner(1), new RecordingOwner(2)};
         // In one task of the event loop: if the first were answered in between, its connection would be
         // reused.
         loop.submit(() -> {
-            pool.start("s", callers[0]);
-            return pool.start("s", callers[1]);
+            pool.start("s", owners[0]);
+            return pool.start("s", owners[1]);
         }).get();
-        assertEquals(Result.OK, callers[0].report().result());
-        assertEquals(Result.OK, callers[1].report().result());
+        assertEquals(Result.OK, owners[0].report().result());
+        assertEquals(Result.OK, owners[1].report().result());
         server.setScript(FakePeer.SILENT);
-        RecordingOwner silent = new RecordingOwner(3);
-        ServerPool.Attempt attempt = start(pool, silent);
+        RecordingOwner unanswered = new RecordingOwner(3);
+        ServerPool.Attempt attempt = start(pool, unanswered);
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
-        assertEquals(Result.TIMEOUT, silent.report().result());
+        assertEquals(Result.TIMEOUT, unanswered.report().result());
         FakePeer.awaitNext(server.closedConnections);
         FakePeer.awaitNext(server.closedConnections);
     }
@@ -469,7 +470,7 @@
         assertSame(b, FakePeer.awaitNext(used));
     }
 
-    /** Waits until one of the callers has a report, and returns the queue that holds it. */
+    /** Waits until one of the owners has a report, and returns the queue that contains it. */
     private static BlockingQueue<Report> awaitEither(RecordingOwner a, RecordingOwner b)
             throws InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
--- a/src/test/java/cedarrelay/node/SoakClient.java
+++ b/src/test/java/cedarrelay/node/SoakClient.java
@@ -13,7 +13,10 @@
     private static final int MAX_THINK_TIME_MS = 60;
     /** For one in this many requests the client disconnects before the response. */
     private static final int DISCONNECT_ONE_IN = 12;
-    /** How late a response may come: processes are paused repeatedly, for up to 1 s each time. */
+    /**
+     * How long after its deadline a response may come: processes are paused repeatedly, for up to 1 s each
+     * time.
+     */
     private static final int RESPONSE_MARGIN_MS = 6_000;
     /** The load balancer in front of the nodes opens no connections to a node this long after its SIGTERM. */
     private static final long NEW_CONNECTIONS_AFTER_SIGTERM_NS = TimeUnit.MILLISECONDS.toNanos(200);
@@ -125,16 +128,16 @@
     }
 
     /**
-     * Records a request without a response, unless there is an excuse: a node may close an idle connection
+     * Records a request without a response, unless that is allowed: a node may close an idle connection
      * before it has read the next request, or its process may have been killed.
      */
     private void recordMissingResponse(String id, int terminationsBefore, String cause)
             throws InterruptedException {
-        boolean excused = !unusedConnection && !cause.equals("silent");
+        boolean closeAllowed = !unusedConnection && !cause.equals("silent");
         disconnect();
         // A kill is counted before it happens, but the end of a process after SIGTERM shortly after it.
         TimeUnit.MILLISECONDS.sleep(100);
-        if (!excused && node.terminations.get() == terminationsBefore) {
+        if (!closeAllowed && node.terminations.get() == terminationsBefore) {
             rules.recordViolation("no response to " + id + " of node " + node.index + ": " + cause);
         }
     }
--- a/src/test/java/cedarrelay/node/SoakDiscovery.java
+++ b/src/test/java/cedarrelay/node/SoakDiscovery.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery's agent of one node: sends the server list, and can fall silent or break its watches. */
+/** The discovery agent of one node: sends the server list, can stop responding or break its watches. */
 final class SoakDiscovery implements Closeable {
     /** How the open watches break: by a TCP reset, a regular close, or a message that is never completed. */
     enum WatchFault { RESET, END, CUT }
@@ -55,7 +55,7 @@
         return "{\"rev\":" + revision + ",\"all\":" + isFull + ",\"targets\":[" + entries + "]}";
     }
 
-    /** Sends a change of a server, or notes it for later while silent. */
+    /** Sends a change of a server, or records it for later while silent. */
     synchronized void announce(String server, String address, String state, long bootMs) {
         String entry = "{\"uid\":\"" + server + "\",\"endpoint\":\"" + address + "\",\"state\":\"" + state
                 + "\",\"boot_ms\":" + bootMs + "}";
--- a/src/test/java/cedarrelay/node/SoakNode.java
+++ b/src/test/java/cedarrelay/node/SoakNode.java
@@ -13,7 +13,7 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 
-/** A node of the soak's fleet, with its discovery agent. Each restart gives it a new process. */
+/** A node of the soak test's fleet, with its discovery agent. Each restart gives it a new process. */
 final class SoakNode implements Closeable {
     /** The longest deadline of a client. */
     static final int MAX_DEADLINE_MS = 3_000;
@@ -30,7 +30,7 @@
     final SoakDiscovery agent;
     final int port;
     final Path logFile;
-    /** Counts kills, before and after each: a response missed around a kill breaks no rule. */
+    /** Incremented before and after each kill: a response that a kill prevents breaks no rule. */
     final AtomicInteger terminations = new AtomicInteger();
     /** When the current process was sent SIGTERM, by System.nanoTime, or 0. */
     volatile long stopSignalNs;
@@ -88,7 +88,7 @@
         start();
     }
 
-    /** Sends SIGTERM, checks that the process ends in order and in time, and starts a new one. */
+    /** Sends SIGTERM, checks that the process exits cleanly and in time, and starts a new one. */
     synchronized void restart() throws Exception {
         checkCounters();
         boolean wasReady = process.isReady();
--- a/src/test/java/cedarrelay/node/SoakRules.java
+++ b/src/test/java/cedarrelay/node/SoakRules.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Checks what the clients, servers and agents of a soak observe against the rules. Thread-safe. */
+/**
+ * Checks what the clients, servers and discovery agents of a soak test observe against the rules that
+ * {@link FaultSoakTest} tests. Thread-safe.
+ */
 final class SoakRules {
     /** The request classes of the soak's settings, in their order. */
     enum RequestKind { SAFE, KEYED, UNSAFE }
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Records a pause of a process: checks made before it may allow writes after it. */
+    /** Records a pause of a process: a check made before the pause may allow a write after it. */
     void recordPause(int node, long fromNs, long toNs) {
         pauses.add(new Pause(node, fromNs, toNs));
     }
--- a/src/test/java/cedarrelay/node/SoakServer.java
+++ b/src/test/java/cedarrelay/node/SoakServer.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A server of the soak: records the requests that it receives and responds to them as its mode says. */
+/** A server of the soak test: records the requests that it receives and responds according to its mode. */
 final class SoakServer implements Closeable {
     /** How the server responds. */
     enum Mode { SERVE, HANG, ERROR, REJECT, RESET }
