--- a/src/main/java/cedarrelay/node/ClientConnection.java
+++ b/src/main/java/cedarrelay/node/ClientConnection.java
@@ -57,7 +57,7 @@
      * input resets the connection, and the client may then lose the error response.
      */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
-    /** Reads per check for a disconnect: a client that is still sending after these is connected. */
+    /** Maximum number of reads per check for a disconnect; a client that sends more counts as connected. */
     private static final int MAX_READS_PER_CHECK = 64;
     private static final String READY_PATH = "/ready";
 
@@ -79,7 +79,7 @@
      * event loop may have had its request waiting in the kernel for as long.
      */
     private final long connectedNs;
-    /** Ticks of the lag measurement before the connection was opened. */
+    /** {@link EventLoopLag#tickCount} when the connection was opened. */
     private final int openedTick;
     /** The request that waits for its response, or null. */
     private Exchange pending;
@@ -461,7 +461,8 @@
         @Override
         protected Object newContinueResponse(HttpMessage start, int maxContentLength,
                 ChannelPipeline pipeline) {
-            // It would overtake the response to an earlier request; a client may send the body without it.
+            // A 100 Continue would overtake the response to an earlier request; a client may send the body
+            // without it.
             return pending == null && pipelined.isEmpty() && unwrittenResponses == 0
                     ? super.newContinueResponse(start, maxContentLength, pipeline) : null;
         }
--- a/src/main/java/cedarrelay/node/ClientListener.java
+++ b/src/main/java/cedarrelay/node/ClientListener.java
@@ -26,7 +26,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.util.concurrent.ScheduledFuture;
 
-/** Accepts client connections, and closes those that are overdue or idle where sockets run short. */
+/** Accepts client connections; closes those that exceed a time limit, and idle ones if sockets run short. */
 final class ClientListener {
     private static final String METRICS_PATH = "/metrics";
     private static final int ACCEPT_BACKLOG = 1_024;
@@ -42,7 +42,7 @@
      * the connection, which would use up the sockets that other clients need.
      */
     private static final long IDLE_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(2_100);
-    /** Connections that have been idle for less than this are not closed to make room. */
+    /** Connections that have been idle for less than this are not closed to make room or when stopping. */
     private static final long MIN_IDLE_NS = TimeUnit.MILLISECONDS.toNanos(100);
     /** Interval between the checks for overdue and idle connections. */
     private static final long SWEEP_INTERVAL_MS = 200;
@@ -127,7 +127,10 @@
         warmUpToken = token;
     }
 
-    /** Reports the node as ready on {@code /ready}; called when the warm-up is over. */
+    /**
+     * Reports the node as ready on {@code /ready}; called when the warm-up is over and a server list is in
+     * use.
+     */
     void setReady() {
         ready = true;
     }
--- a/src/main/java/cedarrelay/node/ClientRequest.java
+++ b/src/main/java/cedarrelay/node/ClientRequest.java
@@ -38,7 +38,9 @@
     private static final String REQUEST_ID = "X-Txn";
     private static final String TENANT = "X-Org";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    /** Header with the value 1 on a request that the client marks as a retry. */
     private static final String RETRY = "X-Resent";
+    /** Header with the client's estimate of the processor time that the request takes, in microseconds. */
     private static final String WORK_ESTIMATE = "X-Estimate";
     /** Headers that concern one connection only, or that are set anew on the request to the server. */
     private static final CharSequence[] HOP_BY_HOP_HEADERS = {HttpHeaderNames.CONNECTION, "Keep-Alive",
@@ -66,17 +68,17 @@
     /** Parses and checks requests, by the classes and tenants of the settings. */
     static final class Parser {
         private final Settings settings;
-        private final Map<String, Integer> classes = new HashMap<>();
-        private final Map<String, Integer> tenants = new HashMap<>();
+        private final Map<String, Integer> classIndexes = new HashMap<>();
+        private final Map<String, Integer> tenantIndexes = new HashMap<>();
 
         Parser(Settings settings) {
             this.settings = settings;
-            settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
-            settings.tenants.forEach(t -> tenants.put(t.name(), tenants.size()));
+            settings.classes.forEach(c -> classIndexes.put(c.name(), classIndexes.size()));
+            settings.tenants.forEach(t -> tenantIndexes.put(t.name(), tenantIndexes.size()));
         }
 
         boolean isClass(String name) {
-            return classes.containsKey(name);
+            return classIndexes.containsKey(name);
         }
 
         /**
@@ -86,7 +88,7 @@
          */
         ClientRequest parse(FullHttpRequest http) throws BadRequestException {
             HttpHeaders headers = http.headers();
-            Integer classIndex = classes.get(className(http.uri()));
+            Integer classIndex = classIndexes.get(className(http.uri()));
             if (classIndex == null) {
                 throw new BadRequestException(HttpResponseStatus.NOT_FOUND, "unknown class of request");
             }
@@ -100,7 +102,7 @@
                 throw badRequest(IDEMPOTENCY_KEY + " is missing");
             }
             String tenantName = headers.get(TENANT);
-            Integer tenantIndex = tenantName == null ? Integer.valueOf(-1) : tenants.get(tenantName);
+            Integer tenantIndex = tenantName == null ? Integer.valueOf(-1) : tenantIndexes.get(tenantName);
             if (tenantIndex == null) {
                 throw badRequest("unknown " + TENANT);
             }
@@ -111,7 +113,8 @@
             }
             long workUs = Math.max(0, parseDigits(headers.get(WORK_ESTIMATE), 12));
             HttpHeaders forwardedHeaders = headers.copy();
-            // Headers that Connection names concern one connection only; the id and the key always pass.
+            // Headers named by Connection are hop-by-hop. The request id and the idempotency key are always
+            // forwarded.
             for (String connectionHeader : headers.getAll(HttpHeaderNames.CONNECTION)) {
                 for (String name : connectionHeader.split(",")) {
                     if (!name.isBlank() && !name.trim().equalsIgnoreCase(REQUEST_ID)
--- a/src/main/java/cedarrelay/node/Exchange.java
+++ b/src/main/java/cedarrelay/node/Exchange.java
@@ -16,6 +16,7 @@
     private final long arrivedNs;
     private final boolean keepAlive;
     private Runnable disconnectAction = () -> { };
+    /** Whether the response has been passed to the connection, or the client has disconnected before. */
     private boolean answered;
 
     Exchange(ClientConnection connection, ClientRequest request, long arrivedNs, boolean keepAlive) {
@@ -60,7 +61,8 @@
     }
 
     /**
-     * Sends a 503 that promises that the request had no effect, so that the client can safely retry it.
+     * Sends a 503, which promises that the client can safely retry the request: it had no effect, or may be
+     * repeated.
      *
      * @param retryAfterUs delay for {@code Retry-After}, in microseconds; 0 sends no such header
      */
--- a/src/main/java/cedarrelay/node/SocketLimiter.java
+++ b/src/main/java/cedarrelay/node/SocketLimiter.java
@@ -14,8 +14,8 @@
      * connections to servers. */
     private static final double MAX_CLIENTS_SHARE = 0.75;
 
-    /** Above this share of the limit, idle client connections are closed. It is known that the clients hold
-     * at most a third of the whole limit. */
+    /** Above this share of the limit, idle client connections are closed. It is half of what the clients are
+     * known to hold at most, a third of the whole limit. */
     private static final double CLOSE_IDLE_SHARE = 1.0 / 6;
 
     /** Above this share of the limit, every response closes its client connection. A close announced in the
