--- a/src/main/java/cedarrelay/node/Discovery.java
+++ b/src/main/java/cedarrelay/node/Discovery.java
@@ -40,7 +40,8 @@
     /**
      * Idle timeout of a watch, which receives at least a heartbeat every 2 s. A change that a silent watch
      * misses counts as notified after 6 s, and {@code rules.drainGraceUs} later no request may be sent by the
-     * outdated list. By then another call has to be answered, which may be slow if lists come on request.
+     * outdated list. By then a new watch has to be answered, which may be slow if lists come on request
+     * ({@code membershipMode} in the settings).
      */
     static final long IDLE_TIMEOUT_MS = 3_000;
     /**
@@ -52,7 +53,8 @@
     private static final long MAX_MESSAGE_GAP_MS = 250;
     /**
      * Response timeout of a call that follows an unanswered one. It is short because discovery may respond
-     * again at any moment.
+     * again at any moment. Also the time after which a call without a response is first reported by
+     * {@link Listener#onNoResponse}.
      */
     private static final long REPEATED_CALL_TIMEOUT_MS = 150;
     /** Among unanswered calls, one in this many has the full response timeout: discovery may just be slow. */
@@ -63,9 +65,9 @@
     private static final int MAX_CONSECUTIVE_READS = 256;
     /** No revision is known, so the full list is requested. */
     private static final long NO_REVISION = -1;
-    /** Room for a line for each of some thousand servers; a larger message is malformed. */
+    /** Enough for several thousand servers with a line each; a larger message is treated as malformed. */
     private static final int MAX_MESSAGE_BYTES = 1 << 20;
-    private static final int MAX_LINE_BYTES = 4_096;
+    private static final int MAX_STATUS_LINE_BYTES = 4_096;
     private static final int MAX_HEADERS_BYTES = 8_192;
 
     /** Receives the messages and failures of the watch. */
@@ -77,8 +79,9 @@
         void onWatchFailed(String reason);
 
         /**
-         * Discovery has not responded to a call in time, so it had no update to report at the time of the
-         * call. May be called more than once for a call, and at the latest right before its failure.
+         * Discovery has not responded to a call in time or could not be connected to, so it had no update to
+         * report at the time of the call. May be called more than once for a call, and at the latest right
+         * before its failure.
          *
          * @param asOfNs the time of the call, by {@link System#nanoTime}
          */
@@ -90,7 +93,9 @@
     private final Listener listener;
     private final long responseTimeoutMs;
     private final long idleTimeoutMs;
+    /** Revision of the latest list, after which a watch continues; or {@link #NO_REVISION}. */
     private long revision;
+    /** Consecutive calls that timed out without a response. */
     private int unansweredCalls;
     private Watch watch;
 
@@ -111,7 +116,10 @@
         this.listener = listener;
     }
 
-    /** Opens a watch on changes from now on; it replaces one that is still open. */
+    /**
+     * Opens a watch, which replaces one that is still open. It reports the changes after the latest known
+     * revision, or the full list if none is known.
+     */
     void subscribe() {
         if (watch != null) {
             watch.close();
@@ -215,7 +223,7 @@
                         @Override
                         protected void initChannel(SocketChannel ch) {
                             ch.pipeline().addLast(new ByteCounter(),
-                                    new HttpClientCodec(MAX_LINE_BYTES, MAX_HEADERS_BYTES, 8_192),
+                                    new HttpClientCodec(MAX_STATUS_LINE_BYTES, MAX_HEADERS_BYTES, 8_192),
                                     Watch.this, messageDecoder, new MessageHandler());
                         }
                     }).connect(address).addListener(future -> {
@@ -235,7 +243,7 @@
                     address.getAddress().getHostAddress() + ":" + address.getPort());
             channel.writeAndFlush(request);
             // Lag of this node's own event loop before this moment must not count as a missing response.
-            // The first timeout comes early, for an early report; it is extended to callTimeoutMs.
+            // The first timeout comes early, for an early onNoResponse(); it is extended to callTimeoutMs.
             requestedNs = System.nanoTime();
             restartTimeout(REPEATED_CALL_TIMEOUT_MS);
         }
--- a/src/main/java/cedarrelay/node/MembershipGate.java
+++ b/src/main/java/cedarrelay/node/MembershipGate.java
@@ -21,7 +21,10 @@
  * counts as notified only seconds later, and reading what has arrived is enough.
  */
 final class MembershipGate {
-    /** A list confirmed less than this ago isn't checked again; far shorter than any grace period. */
+    /**
+     * A list confirmed less than this ago isn't checked again; far shorter than any grace period. Also, if
+     * the timer that ends a hold runs later than this, the process counts as paused.
+     */
     private static final long FRESH_NS = TimeUnit.MILLISECONDS.toNanos(50);
     /** Part of the grace period reserved for a pause of the process between a check and its write. */
     private static final long GRACE_RESERVE_US = 100_000;
@@ -38,9 +41,12 @@
     private final Runnable resume;
     private Discovery discovery;
     private long confirmedNs = System.nanoTime();
+    /** Lists that have been received and not yet applied. */
     private int pendingLists;
     private boolean holding;
+    /** Whether sends may rely on an unconfirmed list, because they have been held back for long enough. */
     private boolean staleSendsAllowed;
+    /** Number of holds so far, which also identifies the latest one. */
     private int holdCount;
 
     /**
@@ -128,7 +134,10 @@
         }
     }
 
-    /** Ends a hold after its time; starts anew if the process was paused, and its discovery calls with it. */
+    /**
+     * Ends a hold after {@link #MAX_HOLD_MS}. If the timer runs late, the process was paused, and its
+     * discovery calls with it: the time then starts again.
+     */
     private void scheduleHoldEnd(int hold) {
         long dueNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_HOLD_MS);
         loop.schedule(() -> {
--- a/src/main/java/cedarrelay/node/ServerList.java
+++ b/src/main/java/cedarrelay/node/ServerList.java
@@ -15,7 +15,7 @@
 /**
  * A message of discovery: the full server list, or the servers that changed since an earlier revision.
  *
- * @param revision the revision of the list that the message leads to
+ * @param revision the revision of the list once the message is applied
  * @param isFull whether it is the full list
  * @param entries the servers of the list, or those that changed
  */
@@ -24,7 +24,12 @@
     /**
      * A server of the list.
      *
+     * @param id identifies the server; stays the same over restarts
+     * @param address where it accepts requests
      * @param zone the name of its availability zone; empty if the list doesn't say
+     * @param cell the number of its cell, a group of servers that share the idempotency keys they have seen;
+     *     0 if the list doesn't say
+     * @param state whether it accepts requests
      * @param weight its capacity relative to the other servers; 1 if the list doesn't say
      * @param bootMs when its process last started, Unix time in milliseconds; 0 if the list doesn't say
      */
