--- a/src/main/java/cedarrelay/node/Config.java
+++ b/src/main/java/cedarrelay/node/Config.java
@@ -42,7 +42,8 @@
      * Reads the file that {@code LB_CONFIG} names. {@code LB_LISTEN} and {@code LB_DISCOVERY} override the
      * file's values.
      *
-     * @throws IllegalArgumentException if something is missing or wrong, with one line for the operator
+     * @throws IllegalArgumentException if something is missing or invalid; the message is one line for the
+     *     operator
      */
     static Config read(Map<String, String> environment) {
         String path = environment.get("LB_CONFIG");
@@ -87,7 +88,8 @@
     /**
      * Parses the text of a configuration file. A non-empty environment variable overrides the file's value.
      *
-     * @throws IllegalArgumentException if something is missing or wrong, with one line for the operator
+     * @throws IllegalArgumentException if something is missing or invalid; the message is one line for the
+     *     operator
      */
     static Config parse(String text, Map<String, String> environment) {
         JsonObject json;
@@ -152,6 +154,7 @@
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
 
+    /** Parses a number; a fraction is cut off, and an exponent is allowed. */
     private static long parseWhole(String text) {
         try {
             return (long) Double.parseDouble(text);
--- a/src/main/java/cedarrelay/node/Main.java
+++ b/src/main/java/cedarrelay/node/Main.java
@@ -21,8 +21,8 @@
     private static final int WARM_UP_REQUESTS = 100;
     /** How long a start waits for discovery before the node serves with the server list of its configuration.
      * The discovery agent runs on the same machine and normally responds at once; one that stays silent for
-     * as long as the warm-up may take has lost its connection, and serving by a possibly outdated list is
-     * better than not serving. */
+     * as long as the warm-up may take has lost its own connection to the discovery service, and serving by a
+     * possibly outdated list is better than not serving. */
     private static final long DISCOVERY_WAIT_MS = 1_500;
     /** Sample configuration for a process that only runs the warm-up. */
     private static final String WARM_UP_CONFIG = """
--- a/src/main/java/cedarrelay/node/Metrics.java
+++ b/src/main/java/cedarrelay/node/Metrics.java
@@ -74,7 +74,7 @@
         return counts[counter.ordinal()];
     }
 
-    /** Updates a maximum; returns whether the value is a new one. */
+    /** Updates a maximum; returns whether the value exceeds the previous one. */
     boolean updateMax(Maximum maximum, long value) {
         if (value <= maxima[maximum.ordinal()]) {
             return false;
--- a/src/main/java/cedarrelay/node/Node.java
+++ b/src/main/java/cedarrelay/node/Node.java
@@ -49,8 +49,9 @@
 final class Node implements Balancer.Actions, Discovery.Listener {
     private static final Logger LOG = System.getLogger(Node.class.getName());
 
-    /** The decision module's deadline is this much before the client's, or this fraction of the time left if
-     * that is less: time for the response to travel, timer delays, and a busy processor after a start. */
+    /** The decision module's deadline is this much before the client's, or the time left divided by
+     * {@link #RESPONSE_MARGIN_DIVISOR} if that is less: time for the response to travel, timer delays, and a
+     * busy processor after a start. */
     private static final long RESPONSE_MARGIN_US = 25_000;
     private static final int RESPONSE_MARGIN_DIVISOR = 8;
     /** Before a request that has waited this long is sent, its client's connection is checked. */
@@ -63,7 +64,7 @@
     private static final long STOP_POLL_INTERVAL_MS = 10;
     /** Allows for the connections accepted last, responses still to be read, and event-loop lag. */
     private static final long STOP_MARGIN_MS = 5_000;
-    /** A few seconds of requests at a busy node, far longer than a duplicate takes to arrive. */
+    /** The requests of a busy node in a few seconds, far longer than a duplicate takes to arrive. */
     private static final int MAX_FINISHED_IDS = 4_096;
     /** Tolerated pause of the process between reading its clock and the write. */
     private static final long PAUSE_TOLERANCE_US = 150_000;
@@ -118,8 +119,10 @@
     private final class PendingRequest {
         private final Exchange exchange;
         private final long id;
+        /** The decision module's deadline; the client's is later. */
         private final long deadlineUs;
         private final List<PendingAttempt> attempts = new ArrayList<>(2);
+        /** Fails the request at the client's deadline. */
         private ScheduledFuture<?> deadlineTimer;
         private int openAttempts;
         private boolean finished;
@@ -177,6 +180,7 @@
         private ServerPool.Attempt poolAttempt;
         private ScheduledFuture<?> timeoutTimer;
         private ScheduledFuture<?> sendByTimer;
+        /** Upper bound of the event-loop lag in the latency of the attempt. */
         private long lagUs;
         private Result result;
         private boolean ended;
@@ -228,7 +232,10 @@
             }
         }
 
-        /** Whether an earlier attempt is still open, or may have run although the class forbids a retry. */
+        /**
+         * Whether this attempt could run the request twice although its class is not safe: an earlier
+         * attempt is still open or, if the class forbids a retry, may have run.
+         */
         private boolean couldRunTwice() {
             RetrySafety retrySafety = config.settings().classes
                     .get(request.exchange.request().classIndex()).retrySafety();
@@ -332,9 +339,9 @@
     }
 
     /**
-     * Puts the first list into use. The known list is used only if discovery doesn't respond: what
-     * discovery's agent on this machine has counts as notified from the start, and the known list may be
-     * older.
+     * Puts the first list into use. The known list is used only if discovery doesn't respond: changes that
+     * discovery's agent on this machine has received count as notified from the start, and the known list may
+     * lack them.
      */
     private void useFirstList(ListKind kind, ServerList list) {
         if (!listInUse) {
@@ -391,7 +398,10 @@
         return ACCEPT_WHILE_STOPPING_MS + longestUs / 1_000 + STOP_MARGIN_MS;
     }
 
-    /** Stops accepting requests after a delay and runs {@code done} as soon as all have their responses. */
+    /**
+     * Stops accepting connections after a delay, and runs {@code done} once all requests have their responses
+     * and all connections are closed.
+     */
     void stop(Runnable done) {
         LOG.log(Level.INFO, "stopping, {0} requests are pending", pendingRequests.size());
         clientListener.drain();
@@ -499,6 +509,7 @@
             LOG.log(Level.WARNING, "request {0} has no response at its deadline, failing it",
                     hex(request.id));
             failRequest(request, HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
+            // To the decision module this is the same as a disconnect: no response is needed any more.
             callBalancer(request, () -> balancer.onClientDisconnected(nowUs(), request.id));
         }
     }
@@ -704,11 +715,11 @@
     private void recordList(ListKind kind, ServerList list) {
         metrics.increment(Counter.LISTS_APPLIED);
         listRevision = list.revision();
-        String leaving = list.entries().stream().filter(entry -> entry.state() != ServerState.READY)
+        String notReady = list.entries().stream().filter(entry -> entry.state() != ServerState.READY)
                 .limit(MAX_LOGGED_SERVERS).map(entry -> entry.id() + " " + entry.state())
                 .collect(Collectors.joining(", "));
-        LOG.log(leaving.isEmpty() ? Level.DEBUG : Level.INFO, () -> "server list revision "
+        LOG.log(notReady.isEmpty() ? Level.DEBUG : Level.INFO, () -> "server list revision "
                 + list.revision() + " (" + kind + "), entries: " + list.entries().size()
-                + ", event-loop lag " + loopLag.lagUs() / 1_000 + " ms, not ready: " + leaving);
+                + ", event-loop lag " + loopLag.lagUs() / 1_000 + " ms, not ready: " + notReady);
     }
 }
--- a/src/main/java/cedarrelay/node/ServerPool.java
+++ b/src/main/java/cedarrelay/node/ServerPool.java
@@ -38,6 +38,7 @@
  * <p>Not thread-safe: all methods are called on the event loop.
  */
 final class ServerPool {
+    /** Header with the value 1 if an overloaded server rejected the request before it ran. */
     private static final String REJECTED_HEADER = "X-Turned-Away";
     private static final long IDLE_SWEEP_INTERVAL_MS = 500;
     /**
@@ -76,7 +77,7 @@
         int pendingConnects;
         /** Whether a timer runs that sends a waiting attempt when a connection's quarantine ends. */
         boolean sendTimerSet;
-        /** When the last complete response was received, by {@link System#nanoTime}. */
+        /** When the last complete response was received, or the server added, by {@link System#nanoTime}. */
         long lastResponseNs = System.nanoTime();
         /** Idle connections, the most recently used first. */
         final Deque<Connection> idle = new ArrayDeque<>();
@@ -251,7 +252,7 @@
 
     /**
      * Starts an attempt. Its result may be reported before this method returns: CONNECT_FAILED if the server
-     * is unknown, NOT_SENT if it drains or the attempt is no longer wanted.
+     * is unknown or no socket can be opened, NOT_SENT if it drains or the attempt is no longer wanted.
      */
     Attempt start(String serverId, AttemptOwner owner) {
         boolean mayWriteNow = mayWrite.getAsBoolean();
@@ -451,7 +452,8 @@
 
         /**
          * Makes the connection idle after a response, or closes it. Attempts may be waiting, but the
-         * quarantine comes first; they also have connects of their own.
+         * quarantine comes first: {@link #connectForWaiting} sets a timer for its end, and opens connections
+         * for attempts that neither this one nor a pending connect can carry.
          */
         void returnToIdle() {
             if (generation != server.generation || server.removed || !isOpenAfterRead()) {
--- a/src/main/java/cedarrelay/node/WarmUp.java
+++ b/src/main/java/cedarrelay/node/WarmUp.java
@@ -17,8 +17,8 @@
 
 /**
  * Warms up a node with synthetic requests before it reports that it is ready. Just after its start the
- * process loads classes and runs unoptimized code: the first requests of clients took up to 0.2 s of
- * processor time each, so that they and those queued behind them missed their latency target, and some their
+ * process loads classes and runs unoptimized code: the first requests of clients can take up to 0.2 s of
+ * processor time each, so that they and those queued behind them miss their latency target, and some their
  * deadline. A second node with separate state sends the synthetic requests over real connections to the
  * first node's address. There they are recognized by a token and answered at once: none reaches a server or
  * the first node's decision module.
