--- a/src/test/java/cedarrelay/node/Fixture.java
+++ b/src/test/java/cedarrelay/node/Fixture.java
@@ -12,7 +12,7 @@
 final class Fixture {
     /** Time budget that requests state in their X-Remaining-Ms header. */
     static final int REMAINING_MS = 20_000;
-    /** The setting windowUs of the class "photo", in milliseconds. */
+    /** The deduplication window of the class "photo" (its setting windowUs), in milliseconds. */
     static final int WINDOW_MS = 1_200;
 
     private static final String CLASSES = """
--- a/src/test/java/cedarrelay/node/MainTest.java
+++ b/src/test/java/cedarrelay/node/MainTest.java
@@ -188,8 +188,8 @@
         server.nextRequest();
         Socket attempt = FakePeer.awaitNext(server.acceptedConnections);
         process.destroy();
-        // SIGKILL may follow after 3.7 s; until then a client with a longer deadline still needs its
-        // response.
+        // SIGKILL may follow 3.7 s after SIGTERM, but until it does, a client with a longer deadline still
+        // needs its response.
         assertFalse(process.waitFor(5, TimeUnit.SECONDS), "the process exited with a request pending");
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         String response = FakePeer.readMessage(client);
--- a/src/test/java/cedarrelay/node/ServerPoolTest.java
+++ b/src/test/java/cedarrelay/node/ServerPoolTest.java
@@ -319,7 +319,7 @@
 
     private void assertHangingConnectFails(Consumer<ServerPool.Attempt> whileConnecting) throws Exception {
         try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Linux drops connection attempts while the queue of connections not yet accepted is fullServer.
+            // Linux drops connection attempts while the queue of connections not yet accepted is full.
             List<Socket> queued = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 Socket socket = new Socket();
@@ -458,16 +458,16 @@
         RecordingOwner second = new RecordingOwner(2);
         start(pool, first);
         start(pool, second);
-        Socket a = FakePeer.awaitNext(used);
-        Socket b = FakePeer.awaitNext(used);
-        FakePeer.write(a, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        Socket answeredFirst = FakePeer.awaitNext(used);
+        Socket answeredLast = FakePeer.awaitNext(used);
+        FakePeer.write(answeredFirst, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.awaitNext(first.reports.isEmpty() && second.reports.isEmpty() ? awaitEither(first, second)
                 : first.reports.isEmpty() ? second.reports : first.reports);
-        FakePeer.write(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        FakePeer.write(answeredLast, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.awaitNext(awaitEither(first, second));
         RecordingOwner third = new RecordingOwner(3);
         start(pool, third);
-        assertSame(b, FakePeer.awaitNext(used));
+        assertSame(answeredLast, FakePeer.awaitNext(used));
     }
 
     /** Waits until one of the owners has a report, and returns the queue that contains it. */
