--- a/src/main/java/cedarrelay/Balancer.java
+++ b/src/main/java/cedarrelay/Balancer.java
@@ -58,8 +58,8 @@
          *
          * @param untilUs when to abandon the attempt
          * @param sendByUs if the request hasn't been written completely by then, it must not be sent any
-         *     more: an attempt may wait for its connection, and a retry is safe only within a window;
-         *     {@link #NO_SEND_DEADLINE} for no such bound
+         *     more: an attempt may wait for its connection, and the retry of a keyed request is safe only
+         *     within its deduplication window; {@link #NO_SEND_DEADLINE} for no such bound
          */
         void send(long requestId, String serverId, long untilUs, long sendByUs);
 
@@ -109,7 +109,7 @@
      * An entry of a server list.
      *
      * @param id identifies the server in attempts; stays the same over restarts
-     * @param zone index into {@link Settings#zones}
+     * @param zone index into {@link Settings#zones}, or -1 if its zone isn't among them
      * @param cell number of its cell, a group of servers that share the idempotency keys they have seen
      * @param state whether it accepts requests
      * @param weight its listed capacity, relative to the other servers; 1 is assumed if not positive
@@ -328,8 +328,8 @@
          */
         public double crossZonePrice;
         /**
-         * Price of one probe per request, in units of the total utility of all requests
-         * ({@code costs.probe} in the settings).
+         * Price of a probe, in units of the mean utility of a request: one probe per request costs this share
+         * of the total utility of all requests ({@code costs.probe} in the settings).
          */
         public double probePrice;
         /**
