--- a/src/main/java/cedarrelay/PendingRequest.java
+++ b/src/main/java/cedarrelay/PendingRequest.java
@@ -17,7 +17,7 @@
     /** End of the latency target, which starts with the first try of the client; at most the deadline. */
     final long latencyTargetAt;
     final long deadlineAt;
-    /** When half of its time has passed: a request that no server has seen is refused then. */
+    /** When half of its time has passed: a request that certainly hasn't run is refused then. */
     final long refuseAt;
     /** By attempt: its server, when it was sent, and its result, or null while it is in flight. */
     final Server[] servers;
@@ -76,8 +76,10 @@
         return -1;
     }
 
-    /** Returns until when another attempt may be sent: for a keyed request that may have run, the end of its
-     * deduplication window; 0 for never. */
+    /**
+     * Returns until when another attempt may be sent: {@link Actions#NO_SEND_DEADLINE} if no attempt may have
+     * run or the request is safe to retry, the end of the deduplication window if it is keyed, otherwise 0.
+     */
     long retryAllowedUntil() {
         int firstPossiblyRun = firstPossiblyRunAttempt();
         return firstPossiblyRun < 0 || requestClass.retrySafety() == RetrySafety.SAFE
--- a/src/main/java/cedarrelay/Server.java
+++ b/src/main/java/cedarrelay/Server.java
@@ -14,13 +14,13 @@
     long startedAt;
     /** Index in the array of ready servers. */
     int readyIndex;
-    /** Its nominal size, lowered by a part of what the list says about its load. */
+    /** Its nominal size, lowered in part as the list lowers its weight with its load; used for sampling. */
     double effectiveSize = 1;
     /** The weight in the current list. */
     double weight = 1;
     /** The largest weight seen: lists may lower a weight with the load of the server. */
     double nominalSize;
-    /** Failures since the last success. */
+    /** Failures since the last success; while ejected, also earlier ones, until it is restored. */
     int errorCount;
     /** Attempts of this node in flight. */
     int inFlight;
@@ -38,13 +38,14 @@
     long limitDecreasedAt;
     /** When an attempt last found the server, or the node, at its limit. */
     long limitReachedAt;
-    /** Last outcomes, one bit each, the newest lowest; 1 is a failure. */
+    /** Last outcomes, except signs of overload, one bit each, the newest lowest; 1 is a failure. */
     int outcomeBits;
     boolean ejected;
     /** Whether the last attempt could not connect. */
     boolean unreachable;
     /** While ejected: when the next trial is due. */
     long trialAt;
+    /** While ejected: mean time until the next trial; each failed trial doubles it. */
     long ejectionUs;
     /** Consecutive successful trials. */
     int trialSuccesses;
@@ -56,7 +57,8 @@
     final int[] classFailures;
     final long[] classLastSuccessAt;
     final long[] classEjectedUntil;
-    /** In slow start: time of the last send, or of the start, and the share of a gap to wait after it. */
+    /** In slow start: time of the last send, or at first of the notification of the start, and the share of
+     * the least gap between two sends to wait after it. */
     long slowStartSentAt;
     double slowStartGapShare;
 
