--- a/src/main/java/cedarrelay/ServiceQBalancer.java
+++ b/src/main/java/cedarrelay/ServiceQBalancer.java
@@ -29,7 +29,8 @@
     private static final double SERVER_SMOOTHING = 0.3;
     /** Decay time of a relative latency, in multiples of the time in which a node uses each server once. */
     private static final double RELATIVE_LATENCY_DECAY_ROUNDS = 12;
-    /** Remaining times within this share of the deadline are equal; network delay makes them differ. */
+    /** Remaining times that differ by at most this share of the deadline count as equal: network delay makes
+     * them differ. */
     private static final double REMAINING_TIME_TOLERANCE = 0.02;
     /** Least share of a class's requests with the same remaining time for that time to mark first tries; low,
      * because most requests may be retries. */
@@ -90,10 +91,10 @@
     /** Relative decrease of a limit after a timeout, a stronger sign of overload than a slow response. */
     private static final double LIMIT_TIMEOUT_DECREASE = 0.3;
     /** A deferred request with less time left than this many mean latencies is expected to be late; under
-     * overload all wait until then. */
+     * overload all requests wait until they have no more time left than that. */
     private static final double LATE_MEAN_LATENCIES = 2;
-    /** Upper bound of that time, as a share of the time from arrival to the latency target: if all servers
-     * are slow, some requests still wait. */
+    /** Upper bound of the time left at which a request is expected to be late, as a share of the time from
+     * arrival to the latency target: if all servers are slow, some requests still wait. */
     private static final double LATE_MAX_SHARE = 0.8;
     /** Failures among the last {@link #HISTORY_SIZE} outcomes of a server that eject it. */
     private static final int EJECT_FAILURES = 4;
@@ -106,7 +107,8 @@
     /** First and longest duration of an ejection; each failed trial doubles it. */
     private static final long MIN_EJECT_US = 250_000;
     private static final long MAX_EJECT_US = 4_000_000;
-    /** Requests of this node in flight from which a local server is compared with those of other zones. */
+    /** Requests of this node in flight from which a local server is compared with those of other zones, and
+     * by how many fewer another server must have to be preferred. */
     private static final int SPILL_IN_FLIGHT = 2;
     /** Share of the slow start budget that is used; the rest allows for random variation. */
     private static final double SLOW_START_BUDGET_SHARE = 0.8;
@@ -118,8 +120,9 @@
     private static final double QUOTA_BURST_S = 1;
     /** Backoff before the first retry of a failed list request; doubled with each failure. */
     private static final long MIN_LIST_BACKOFF_US = 250_000;
-    /** Longest backoff, to which jitter adds up to a half. With the 3 s timeout of a list request and the
-     * response to the next, it stays below the 6 s after which a change counts as notified. */
+    /** Longest backoff; jitter lengthens or shortens it by up to a half. The 3 s timeout of a list request,
+     * this backoff and the response to the next request together stay below the 6 s after which a node counts
+     * as notified of a change. */
     private static final long MAX_LIST_BACKOFF_US = 1_000_000;
 
     private static final Comparator<PendingRequest> BY_PRIORITY =
@@ -140,6 +143,7 @@
     /** Weight before division by the errors of a server; grows with the largest error count. */
     private double maxErrorFactor = 1;
     private double totalNominalSize;
+    /** Ejected servers among those that are ready. */
     private int ejectedCount;
     private long nextLogAt;
     private final Map<Long, PendingRequest> pendingById = new HashMap<>();
@@ -148,31 +152,41 @@
             new PriorityQueue<>(Comparator.comparingLong(pending -> pending.probeWaitEndsAt));
     private long now;
     private long pendingWakeAt = Long.MAX_VALUE;
+    /** When an attempt was last served; until one has been, when the first was sent. */
     private long lastServedAt;
+    /** Mean time between served attempts. */
     private double servedGapUs = INITIAL_SERVED_GAP_US;
     private int servedCount;
+    /** By class: mean latency, its lowest value, which drifts upwards, and the number of responses in it. */
     private final double[] meanLatencyUs;
     private final double[] minMeanLatencyUs;
     private final int[] latencySamples;
+    /** By tenant: requests that its quota allows at present, and when they were last counted. */
     private final double[] quotaTokens;
     private final long[] quotaUsedAt;
+    /** By class: the remaining time that marks first tries, the moving share of requests that have it, and
+     * the number of requests counted. */
     private final long[] usualRemainingUs;
     private final double[] usualRemainingShare;
     private final int[] requestCounts;
     /** By zone: time of the first send that has had no response since (0 if none), and of the last send. */
     private final long[] zoneUnansweredSince;
     private final long[] zoneLastSentAt;
+    /** Attempts in flight at the servers in use, and the sum of the limits of these servers. */
     private int totalInFlight;
     private double limitSum;
     private double meanProbeUs;
     private int probeSamples;
     /** Moving share of attempts that failed or were late. */
     private double notOnTimeShare;
+    /** Moving share of responses and timeouts that were on time. A late response counts as its utility share,
+     * or as on time if only its work made it slow. */
     private double onTimeRatio = 1;
     /** Attempts that a throttled node may send. */
     private double sendTokens;
     private double meanUtility;
     private int utilitySamples;
+    /** When to request the server list. */
     private long listRequestAt = Long.MAX_VALUE;
     private long listBackoffUs = MIN_LIST_BACKOFF_US;
 
@@ -199,7 +213,8 @@
         actions = nodeActions;
         random = new SplittableRandom(seed);
         queueScanUs = Math.max(MIN_QUEUE_SCAN_US, 2 * nodeSettings.tickUs);
-        // Both are scaled by the same factor, to keep their balance over all nodes.
+        // The same factor divides the increase and compounds the decrease, to keep their balance over all
+        // nodes.
         double adjustment = Math.pow(settings.nodes, LIMIT_NODES_EXPONENT);
         limitIncrease = LIMIT_INCREASE / adjustment;
         limitDecrease = 1 - Math.pow(1 - LIMIT_DECREASE, adjustment);
@@ -290,6 +305,7 @@
         scheduleWake();
     }
 
+    /** Requests the server list, and again after half of the permitted interval if no list has arrived. */
     private void requestList() {
         actions.subscribe();
         listRequestAt = now + Math.max(1, settings.listRequestIntervalUs / 2);
@@ -321,7 +337,7 @@
             endUnserved(pending);
             return;
         }
-        if (!deferredQueue.isEmpty() || now >= pending.deadlineAt || !startedProbes(pending)) {
+        if (!deferredQueue.isEmpty() || now >= pending.deadlineAt || !tryStartProbes(pending)) {
             sendOrDefer(pending);
         }
         scheduleWake();
@@ -340,8 +356,8 @@
 
     /**
      * Returns the time since the first try of the client; 0 for a request without the retry mark of clients
-     * that mark their retries. Otherwise it is derived from the remaining time: it is the same for all first
-     * tries of a class, by far the most requests, and for retries what is left of the deadline.
+     * that mark their retries. Otherwise it is derived from the remaining time: that is the same for all
+     * first tries of a class, usually by far the most requests, and for retries what is left of the deadline.
      */
     private long elapsedSinceFirstTryUs(Request request) {
         if (settings.clientsMarkRetries && !request.retry()) {
@@ -624,7 +640,8 @@
         server.limit = initialLimit();
     }
 
-    /** The mean limit of the servers in use: with few responses each, learning a limit takes long. */
+    /** Returns the mean limit of the servers in use, or this node's part of {@link #INITIAL_LIMIT} if that is
+     * higher: with few responses each, learning a limit takes long. */
     private double initialLimit() {
         int inUse = ready.length - ejectedCount;
         return inUse > 0 ? Math.max(INITIAL_LIMIT / settings.nodes, limitSum / inUse)
@@ -697,11 +714,13 @@
 
     /**
      * Extension (probing): if nodes outnumber servers, the requests of one node in flight say little about a
-     * server. Where probes are allowed, both sampled servers are probed and the first to respond gets the
-     * request; if neither responds soon, the usual choice decides. Servers in slow start aren't probed,
-     * because probes use up their budget too. Returns whether the request now waits for probe results.
+     * server. Where probes are allowed, two picked servers with equally many requests in flight are probed,
+     * and the first to respond gets the request; if neither responds soon, the usual choice decides. Servers
+     * in slow start aren't probed, because probes use up their budget too.
+     *
+     * @return whether the request now waits for probe results
      */
-    private boolean startedProbes(PendingRequest pending) {
+    private boolean tryStartProbes(PendingRequest pending) {
         double meanUs = meanLatencyUs[pending.request.classIndex()];
         long waitUs = Math.max(3 * settings.tickUs, (long) (PROBE_WAIT_SHARE * meanUs));
         if (!settings.allowProbes || settings.nodes <= ready.length || meanUs == 0
@@ -755,7 +774,8 @@
             return server;
         }
         // Extension (zones): if crossing zones has a price, both samples are local. A pick from all zones
-        // wins only if the local one is at its limit, has more errors or 2 more requests in flight.
+        // wins only if no local server may be sent to, or the local pick has more errors or at least
+        // SPILL_IN_FLIGHT more requests in flight.
         if (server != null && server.inFlight < SPILL_IN_FLIGHT && server.errorCount == 0) {
             return server;
         }
@@ -850,7 +870,8 @@
         return server.effectiveSize * Math.ceil(maxErrorFactor / (1 + server.errorCount));
     }
 
-    /** Fails over to the next server in list order, or defers the request, or ends it. */
+    /** Fails over to the next server in list order, those without errors first, or defers the request, or
+     * ends it. */
     private void failOver(PendingRequest pending, Server failedServer) {
         if (!mayAttempt(pending)) {
             endUnserved(pending);
@@ -860,7 +881,7 @@
         for (int pass = 0; pass < 2; pass++) {
             for (int i = 1; i <= ready.length; i++) {
                 Server next = ready[(failedServer.readyIndex + i) % ready.length];
-                // Extension (zones): if crossing has a price, local servers without errors come first.
+                // Extension (zones): if crossing zones has a price, the servers preferred must also be local.
                 boolean preferred = next.errorCount == 0 && (localZone == allZones || isLocal(next));
                 if ((preferred || pass > 0) && !tried.contains(next) && maySend(pending, next)) {
                     send(pending, next);
@@ -885,8 +906,8 @@
 
     /**
      * Sends deferred requests as far as the servers have capacity and ends those without enough time left.
-     * Extension (deferral): a request that no server has seen after half of its time is refused, while its
-     * client can still try another node.
+     * Extension (deferral): a request that certainly hasn't run on any server after half of its time is
+     * refused, while its client can still try another node.
      */
     private void serveDeferred() {
         if (deferredQueue.isEmpty()) {
@@ -939,7 +960,8 @@
     /**
      * Returns the queue priority, the utility of a request per expected work: the utility of its class,
      * reduced if its tenant exceeds this node's part of the quota, divided by the mean latency of the class
-     * as the measure of work. Uses up quota of the tenant.
+     * as the measure of work unless utility is already earned per work. Also uses up quota of the tenant and
+     * sets the utility of the request.
      */
     private double queuePriority(PendingRequest pending) {
         double utility = pending.requestClass.utility();
@@ -1022,9 +1044,9 @@
         if (isThrottled()) {
             return true;
         }
-        // The sum of the limits guards against a pause, when all that the limits allow is in flight at once.
-        // The allowance shrinks with the on-time ratio, to 0 at a half: bursts make an overloaded fleet
-        // collapse.
+        // The sum of the limits guards against a pause of responses, in which all that the limits of single
+        // servers allow would be in flight at once. The allowance shrinks with the on-time ratio, to 0 at a
+        // half: bursts make an overloaded fleet collapse.
         double burstAllowance = LIMIT_SUM_BURST * Math.max(0, 2 * onTimeRatio - 1) * Math.sqrt(limitSum);
         if (isAtLimit(server) || totalInFlight > 0 && totalInFlight + 1 > limitSum + burstAllowance) {
             server.limitReachedAt = now;
@@ -1075,6 +1097,7 @@
         }
         long untilUs = attemptDeadline(pending);
         if (server.classFailures[pending.request.classIndex()] > 0) {
+            // A server that was ejected for the class is ejected again, so that it gets single attempts only.
             ejectForClass(server, pending.request.classIndex());
             untilUs = Math.min(untilUs, suspectClassDeadline(pending));
         }
@@ -1083,7 +1106,7 @@
 
     /**
      * Extension (timeout at the latency target): an attempt ends once its response would earn nothing any
-     * more.
+     * more, except if it is streamed or clients would retry after the failure.
      */
     private long attemptDeadline(PendingRequest pending) {
         return pending.requestClass.lateUtilityShare() > 0 || clientRetriesFailures(pending.requestClass)
@@ -1160,8 +1183,8 @@
                 && !hasNoUtilityLeft(pending) && now <= pending.retryAllowedUntil();
     }
 
-    /** Whether a server may get the next attempt: not ejected, in a silent zone, just tried or at a
-     * limit, and permitted. */
+    /** Whether a server may get the next attempt: it is permitted to, and is neither ejected nor in a silent
+     * zone, just tried or over a limit. */
     private boolean maySend(PendingRequest pending, Server server) {
         return !server.ejected && now >= server.classEjectedUntil[pending.request.classIndex()]
                 && !isZoneSilent(server, meanLatencyUs[pending.request.classIndex()])
@@ -1188,7 +1211,8 @@
         return server.zone == settings.myZone;
     }
 
-    /** Whether it was sent there less than a mean latency ago: quick failures would use up its attempts. */
+    /** Whether the request was sent there less than a mean latency ago: quick failures would use up its
+     * attempts. */
     private boolean hasJustTried(PendingRequest pending, Server server) {
         for (int i = 0; i < pending.attemptCount; i++) {
             if (pending.servers[i] == server
