--- a/src/main/java/cedarrelay/benchlink/ProtocolReader.java
+++ b/src/main/java/cedarrelay/benchlink/ProtocolReader.java
@@ -81,8 +81,8 @@
         nameEnd = pos;
         fieldCount = 0;
         while (pos < lineEnd) {
-            int key = pos + 1;
-            int equalsPos = key;
+            int keyPos = pos + 1;
+            int equalsPos = keyPos;
             while (equalsPos < lineEnd && buffer[equalsPos] != '=' && buffer[equalsPos] != ' ') {
                 equalsPos++;
             }
@@ -95,7 +95,7 @@
                 valueStart = Arrays.copyOf(valueStart, 2 * fieldCount);
                 valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
             }
-            keyStart[fieldCount] = key;
+            keyStart[fieldCount] = keyPos;
             valueStart[fieldCount] = Math.min(equalsPos + 1, pos);
             valueEnd[fieldCount] = pos;
             fieldCount++;
--- a/src/main/java/cedarrelay/benchlink/ProtocolWriter.java
+++ b/src/main/java/cedarrelay/benchlink/ProtocolWriter.java
@@ -9,7 +9,8 @@
 
 /**
  * Encodes the actions of the balancer instances in the simulator's line protocol. The reply to a batch is
- * buffered and written by {@link #flush}, so malformed input never leaves a partial reply.
+ * buffered and written by {@link #flush}, so malformed input never leaves a partial reply. The protocol has
+ * no field for the {@code sendByUs} of an attempt.
  */
 final class ProtocolWriter implements Balancer.Actions {
     private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
@@ -24,8 +25,8 @@
     }
 
     /** Sets the node that the following actions belong to. */
-    void setNode(String instance) {
-        node = instance;
+    void setNode(String nodeName) {
+        node = nodeName;
     }
 
     /** Writes the reply to the current batch. */
--- a/src/main/java/cedarrelay/benchlink/SettingsReader.java
+++ b/src/main/java/cedarrelay/benchlink/SettingsReader.java
@@ -39,12 +39,12 @@
             settings.zones.add(zone);
         }
         settings.myZone = Math.max(0, settings.zones.indexOf(values.getOrDefault("myZone", "")));
-        int classes = (int) wholeNumber("classes.count", 0);
-        for (int i = 0; i < classes; i++) {
+        int classCount = (int) wholeNumber("classes.count", 0);
+        for (int i = 0; i < classCount; i++) {
             settings.classes.add(requestClass("classes." + i + "."));
         }
-        int tenants = (int) wholeNumber("realms.count", 0);
-        for (int i = 0; i < tenants; i++) {
+        int tenantCount = (int) wholeNumber("realms.count", 0);
+        for (int i = 0; i < tenantCount; i++) {
             String prefix = "realms." + i + ".";
             settings.tenants.add(new Tenant(require(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
--- a/src/main/java/cedarrelay/benchlink/SimulatorAdapter.java
+++ b/src/main/java/cedarrelay/benchlink/SimulatorAdapter.java
@@ -24,6 +24,7 @@
  * back after each batch. It makes no decisions of its own.
  */
 final class SimulatorAdapter {
+    /** Number of rosters that the protocol tells apart; they are numbered from 0. */
     private static final int MAX_ROSTERS = 16;
 
     /** The balancer of one simulated node, with the indices of the names in its settings. */
@@ -149,6 +150,7 @@
             return () -> balancer.onProbe(atUs, server, result, latencyUs, report);
         }
         if (reader.hasName("memo")) {
+            // A note that doesn't concern the balancer.
             return () -> { };
         }
         throw reader.malformed("unknown event " + reader.name());
