--- a/src/test/java/cedarrelay/DispatchTest.java
+++ b/src/test/java/cedarrelay/DispatchTest.java
@@ -23,15 +23,15 @@
 import cedarrelay.Balancer.Settings;
 
 /**
- * Tests how the balancer picks a server and when it sends: weighted sampling, requests in flight, failure
+ * Tests how the balancer picks a server and when it sends: weighted sampling, requests in flight, error
  * counts, failover, the deferred queue, concurrency limits and throttling.
  */
 class DispatchTest {
 
     @Test
     void aRequestNotMarkedAsRetryIsNotTakenForOneBecauseItsClientWaitsLess() {
-        // Guards against refusing a first request at once because it was slow to arrive and has less time
-        // left than others: where clients mark their retries, an unmarked request is not a retry.
+        // Guards against refusing a first try at once because it was slow to arrive and has less time left
+        // than others: where clients mark their retries, an unmarked request is not a retry.
         Balancer.Settings settings = TestNode.settings();
         settings.clientsMarkRetries = true;
         TestNode node = new TestNode(settings, 7).withServers(3);
@@ -340,6 +340,7 @@
         for (int i = 0; i < 32; i++) {
             node.submit(TestNode.SAFE);
         }
+        // The limits are 4/32 at each of 32 servers, in sum 4; the burst is 2.5 times the square root of 4.
         assertEquals(9, node.sent.size());
     }
 
@@ -361,15 +362,15 @@
 
     /**
      * Guards against responses after the latency target under overload: while requests stayed deferred until
-     * only half a usual latency was left before the target, most responses came after it. Where servers
+     * only half a mean latency was left before the target, most responses came after it. Where servers
      * usually take longer than the latency target, a request may still be deferred for a while.
      */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
-    void aDeferredRequestIsRefusedWellBeforeItsLatencyTarget(long usualLatencyUs, long deferredForUs) {
+    void aDeferredRequestIsRefusedWellBeforeItsLatencyTarget(long meanLatencyUs, long deferredForUs) {
         TestNode node = new TestNode().withServers(1);
         for (int i = 0; i < 40; i++) {
-            node.submitAndComplete(TestNode.UNSAFE, Result.OK, usualLatencyUs);
+            node.submitAndComplete(TestNode.UNSAFE, Result.OK, meanLatencyUs);
         }
         node.updateServers(ListKind.FULL, List.of());
         long id = node.submit(TestNode.UNSAFE);
@@ -395,8 +396,8 @@
     }
 
     /**
-     * Submits requests one after another, completes each one that is sent after {@code latencyUs} and pauses
-     * for 20 ms between them.
+     * Submits requests one after another, with a pause of 20 ms between them, and completes each one that is
+     * sent, {@code latencyUs} later.
      *
      * @return how many requests were sent
      */
@@ -428,7 +429,7 @@
         node.advanceClock(20_000);
         node.submit(TestNode.SAFE);
         assertEquals(22, node.sent.size(),
-                "requests to a zone that was silent for two usual latencies were already deferred");
+                "requests to a zone that was silent for two mean latencies were already deferred");
         node.advanceClock(20_000);
         node.submit(TestNode.SAFE);
         long deferred = node.submit(TestNode.SAFE);
--- a/src/test/java/cedarrelay/FailureHandlingTest.java
+++ b/src/test/java/cedarrelay/FailureHandlingTest.java
@@ -430,7 +430,8 @@
     @Test
     void aLaggingNodeRefusesRequestsThatCannotBeOnTime() {
         TestNode node = new TestNode().withServers(1);
-        // 70 ms are left to the latency target, and the response may wait unread as long as the request did.
+        // 70 ms are left to the latency target. The response is expected to wait unread for half as long as
+        // the request did, 65 ms.
         node.balancer.onRequest(node.nowUs, new Balancer.Request(1, TestNode.SAFE, 0, 900_000, 0, false,
                 130_000));
         assertEquals(1, node.sent.size(), "not sent although there is time enough");
@@ -452,7 +453,8 @@
             node.balancer.onOutcome(node.nowUs, new Balancer.Outcome(id, 0, Result.OK, 90_000, true, null,
                     40_000));
         }
-        // If the usual latency had been learned as more than 50 ms, this request would be refused.
+        // 80 ms are left to the latency target, 60 of them for the response to wait unread: if a mean latency
+        // of 50 ms had been learned from the responses above, this request would be refused.
         node.balancer.onRequest(node.nowUs, new Balancer.Request(500, TestNode.SAFE, 0, 900_000, 0, false,
                 120_000));
         assertTrue(node.refused.isEmpty(), "refused for a latency that includes the node's own lag");
--- a/src/test/java/cedarrelay/RandomEventsTest.java
+++ b/src/test/java/cedarrelay/RandomEventsTest.java
@@ -343,8 +343,8 @@
                 "too few requests were served for a meaningful run: " + checker.served);
         // Rule 4: within any overloadWindowUs the node sends to a server in slow start no more than its share
         // of overloadFactor times the server's capacity. Its share of a warm server's capacity is taken to be
-        // its rate of served requests over the ready servers (three at most, as many are always removed). Two
-        // requests more are allowed for random variation.
+        // its rate of served requests over the ready servers (counted as three at most, as many are always
+        // removed). Two requests more are allowed for random variation.
         double servedPerS = checker.served / ((checker.nowUs - 5_000_000) / 1e6);
         Settings settings = checker.settings;
         checker.slowStartSends.forEach((server, sends) -> {
--- a/src/test/java/cedarrelay/RequestGuaranteesTest.java
+++ b/src/test/java/cedarrelay/RequestGuaranteesTest.java
@@ -31,8 +31,8 @@
     }
 
     /**
-     * What follows a first attempt with the given result: "again" means another attempt, "failed" that the
-     * request fails.
+     * What follows a first attempt of a class, given by its index in {@link TestNode}, with the given result:
+     * "again" means another attempt, "failed" that the request fails.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/cedarrelay/TestNode.java
+++ b/src/test/java/cedarrelay/TestNode.java
@@ -92,7 +92,7 @@
         return settings;
     }
 
-    /** A class with a latency target of 200 ms, a deadline of 1 s and a retry window of 400 ms. */
+    /** A class with a latency target of 200 ms, a deadline of 1 s and a deduplication window of 400 ms. */
     static RequestClass requestClass(String name, RetrySafety retrySafety, DeduplicationScope scope) {
         return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, retrySafety, scope, 400_000, false);
     }
--- a/src/test/java/cedarrelay/benchlink/SimulatorAdapterTest.java
+++ b/src/test/java/cedarrelay/benchlink/SimulatorAdapterTest.java
@@ -64,6 +64,7 @@
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4 retryInUs=750000\n"), reply);
     }
 
+    /** In {@code lines}, a semicolon ends a line and B stands for a batch that has started the node. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "begin_batch timeUs=1 | the input ends inside a batch",
