--- a/src/test/java/cedarrelay/node/MainTest.java
+++ b/src/test/java/cedarrelay/node/MainTest.java
@@ -7,7 +7,6 @@
 
 import java.io.IOException;
 import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -42,9 +41,7 @@
     void open() throws Exception {
         discovery = new FakePeer(FakePeer.SILENT);
         server = new FakePeer(FakePeer.respond("200 OK", "", "done"));
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
-        }
+        port = NodeProcess.freePort();
     }
 
     @AfterEach
--- a/src/test/java/cedarrelay/node/NodeProcess.java
+++ b/src/test/java/cedarrelay/node/NodeProcess.java
@@ -3,9 +3,10 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
@@ -15,13 +16,19 @@
 final class NodeProcess implements Closeable {
     private static final long START_TIMEOUT_S = 60;
     private static final long POLL_INTERVAL_MS = 20;
+    private static final long RESPONSE_TIMEOUT_MS = TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S);
+    /** Short, so that a node that has exited is noticed even if another process responds on its port. */
+    private static final long READY_POLL_TIMEOUT_MS = 1_000;
+    private static final int LOG_LINES_TOLD = 5;
 
     final int port;
+    private final Path log;
     private final Process process;
 
     /** Starts a node on a loopback port; appends its standard output and standard error to the log file. */
     NodeProcess(JsonObject config, int port, Path log, Map<String, String> environment) throws IOException {
         this.port = port;
+        this.log = log;
         config.addProperty("listen", "127.0.0.1:" + port);
         String classPath = System.getProperty("surefire.test.class.path",
                 System.getProperty("java.class.path"));
@@ -35,25 +42,33 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
     }
 
+    /** A free port for a node, which the kernel gives to no other socket. */
     static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
-        }
+        return NodePorts.nextFree();
     }
 
     /** Opens a client connection whose reads time out. */
     Socket connect() throws IOException {
+        return connect(RESPONSE_TIMEOUT_MS);
+    }
+
+    private Socket connect(long readTimeoutMs) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
+        socket.setSoTimeout((int) readTimeoutMs);
         return socket;
     }
 
     /** Waits until the node is ready; throws AssertionError if it exits or is not ready in time. */
     void awaitReady() throws Exception {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
-        while (!isReady()) {
-            if (!process.isAlive() || System.nanoTime() - deadlineNs > 0) {
-                throw new AssertionError("the node exited or was not ready in time");
+        while (!isReady(READY_POLL_TIMEOUT_MS)) {
+            if (!process.isAlive()) {
+                throw new AssertionError("the node exited with status " + exitValue()
+                        + " before it was ready, its last log lines: " + lastLogLines());
+            }
+            if (System.nanoTime() - deadlineNs > 0) {
+                throw new AssertionError("the node was not ready within " + START_TIMEOUT_S
+                        + " s, its last log lines: " + lastLogLines());
             }
             process.waitFor(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
@@ -61,16 +76,26 @@
 
     /** Whether the node accepts connections and reports that it is ready. */
     boolean isReady() {
+        return isReady(RESPONSE_TIMEOUT_MS);
+    }
+
+    private boolean isReady(long responseTimeoutMs) {
         try {
-            return get("/ready").startsWith("HTTP/1.1 200");
+            return get("/ready", responseTimeoutMs).startsWith("HTTP/1.1 200");
         } catch (IOException e) {
             return false;
         }
     }
 
+    /** The end of the log, to tell why a process has ended. */
+    List<String> lastLogLines() throws IOException {
+        List<String> lines = Files.readAllLines(log);
+        return lines.subList(Math.max(0, lines.size() - LOG_LINES_TOLD), lines.size());
+    }
+
     /** The value of a metric, by its name without the prefix {@code cedarrelay_}. */
     long metric(String name) throws IOException {
-        for (String line : get("/metrics").split("\n")) {
+        for (String line : get("/metrics", RESPONSE_TIMEOUT_MS).split("\n")) {
             if (line.startsWith("cedarrelay_" + name + " ")) {
                 return Long.parseLong(line.substring(line.indexOf(' ') + 1).trim());
             }
@@ -78,8 +103,8 @@
         throw new AssertionError("the node has no metric " + name);
     }
 
-    private String get(String path) throws IOException {
-        try (Socket socket = connect()) {
+    private String get(String path, long responseTimeoutMs) throws IOException {
+        try (Socket socket = connect(responseTimeoutMs)) {
             FakePeer.write(socket, "GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
             String response = FakePeer.readMessage(socket);
             if (response == null) {
--- a/src/test/java/cedarrelay/node/SoakNode.java
+++ b/src/test/java/cedarrelay/node/SoakNode.java
@@ -4,7 +4,6 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -110,9 +109,7 @@
     /** Checks that the process runs and that its own counters of violations are 0. */
     synchronized void checkCounters() throws IOException {
         if (!process.isAlive()) {
-            List<String> logLines = Files.readAllLines(logFile);
-            rules.recordViolation("node " + index + " has ended unexpectedly: "
-                    + logLines.subList(Math.max(0, logLines.size() - 5), logLines.size()));
+            rules.recordViolation("node " + index + " has ended unexpectedly: " + process.lastLogLines());
             return;
         }
         if (!process.isReady()) {
