--- a/src/test/java/cedarrelay/node/FakePeer.java
+++ b/src/test/java/cedarrelay/node/FakePeer.java
@@ -60,8 +60,13 @@
 
     /** Sends a response with these headers and this body; each header ends with CR LF. */
     static Script respond(String status, String headers, String body) {
-        return respondRaw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length()
-                + "\r\n\r\n" + body);
+        return respondRaw(responseText(status, headers, body));
+    }
+
+    /** The text of a response with these headers and this body; each header ends with CR LF. */
+    static String responseText(String status, String headers, String body) {
+        return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
+                + body;
     }
 
     /** Sends this text. */
--- a/src/test/java/cedarrelay/node/FaultSoakTest.java
+++ b/src/test/java/cedarrelay/node/FaultSoakTest.java
@@ -41,6 +41,7 @@
     private final Queue<String> timeline = new ConcurrentLinkedQueue<>();
     private SoakDiscovery[] agents;
     private SoakRules rules;
+    private ArrivalRecorder arrivals;
     private SplittableRandom random;
     private ExecutorService faultExecutor;
     private int serverCount;
@@ -90,6 +91,7 @@
     private void startFleet(boolean pushed) throws Exception {
         agents = new SoakDiscovery[NODES];
         rules = new SoakRules(agents, pushed);
+        arrivals = new ArrivalRecorder();
         for (int i = 0; i < NODES; i++) {
             agents[i] = new SoakDiscovery();
             nodes.add(new SoakNode(i, agents[i], rules, pushed));
@@ -143,6 +145,9 @@
         for (SoakServer server : servers) {
             server.close();
         }
+        if (arrivals != null) {
+            arrivals.close();
+        }
     }
 
     /** Starts a random fault, which may overlap with earlier ones. */
@@ -188,7 +193,7 @@
     }
 
     private void addServer() throws IOException {
-        SoakServer server = new SoakServer("s-" + ++serverCount, rules);
+        SoakServer server = new SoakServer("s-" + ++serverCount, rules, arrivals);
         servers.add(server);
         readyServers.add(server);
         announce(server, "Ready");
--- a/src/test/java/cedarrelay/node/NodeProcess.java
+++ b/src/test/java/cedarrelay/node/NodeProcess.java
@@ -4,7 +4,10 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -20,6 +23,9 @@
     /** Short, so that a node that has exited is noticed even if another process responds on its port. */
     private static final long READY_POLL_TIMEOUT_MS = 1_000;
     private static final int LOG_LINES_TOLD = 5;
+    private static final long STOP_POLL_INTERVAL_MS = 1;
+    /** The state of a stopped thread in its /proc/PID/task/TID/stat. */
+    private static final char STATE_STOPPED = 'T';
 
     final int port;
     private final Path log;
@@ -121,6 +127,37 @@
         }
     }
 
+    /**
+     * Waits until all threads of the process have stopped. SIGSTOP takes effect some time after it was sent:
+     * on a busy machine, threads of the process may run on meanwhile.
+     */
+    void awaitStopped() throws Exception {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
+        while (!isStopped()) {
+            if (!process.isAlive() || System.nanoTime() - deadlineNs > 0) {
+                throw new AssertionError("the node process exited or did not stop in time");
+            }
+            TimeUnit.MILLISECONDS.sleep(STOP_POLL_INTERVAL_MS);
+        }
+    }
+
+    private boolean isStopped() throws IOException {
+        Path threads = Path.of("/proc", Long.toString(process.pid()), "task");
+        try (DirectoryStream<Path> directories = Files.newDirectoryStream(threads)) {
+            for (Path directory : directories) {
+                String status = Files.readString(directory.resolve("stat"), StandardCharsets.ISO_8859_1);
+                // The state follows the thread's name, which is in parentheses.
+                if (status.charAt(status.lastIndexOf(')') + 2) != STATE_STOPPED) {
+                    return false;
+                }
+            }
+            return true;
+        } catch (NoSuchFileException e) {
+            // A thread has ended since the directory was read.
+            return false;
+        }
+    }
+
     boolean isAlive() {
         return process.isAlive();
     }
--- a/src/test/java/cedarrelay/node/SoakClient.java
+++ b/src/test/java/cedarrelay/node/SoakClient.java
@@ -82,11 +82,14 @@
         SoakRules.RequestKind kind = SoakRules.RequestKind.values()[random.nextInt(PATHS.length)];
         int remainingMs = random.nextInt(200, SoakNode.MAX_DEADLINE_MS);
         int terminationsBefore = node.terminations.get();
-        SoakRules.SentRequest request = new SoakRules.SentRequest(node.index, kind,
-                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(remainingMs));
+        SoakRules.SentRequest request = new SoakRules.SentRequest(node.index, kind, remainingMs);
         rules.recordRequest(id, request);
         try {
-            FakePeer.write(socket, buildRequest(kind, id, remainingMs));
+            try {
+                FakePeer.write(socket, buildRequest(kind, id, remainingMs));
+            } finally {
+                request.recordWritten();
+            }
             if (random.nextInt(DISCONNECT_ONE_IN) == 0) {
                 TimeUnit.MILLISECONDS.sleep(random.nextInt(100));
                 disconnect();
--- a/src/test/java/cedarrelay/node/SoakNode.java
+++ b/src/test/java/cedarrelay/node/SoakNode.java
@@ -65,15 +65,15 @@
 
     /** Pauses the process (SIGSTOP, SIGCONT). */
     synchronized void pause(long ms) throws Exception {
+        SoakRules.Pause pause = rules.recordPause(index);
         process.sendSignal("STOP");
-        // The process has been paused since a few milliseconds before this.
-        long fromNs = System.nanoTime();
         try {
+            process.awaitStopped();
+            pause.recordStopped();
             TimeUnit.MILLISECONDS.sleep(ms);
         } finally {
-            // Recorded before the process continues, so that checks of its first sends find the pause.
-            rules.recordPause(index, fromNs, System.nanoTime());
             process.sendSignal("CONT");
+            pause.recordEnd();
         }
     }
 
--- a/src/test/java/cedarrelay/node/SoakServer.java
+++ b/src/test/java/cedarrelay/node/SoakServer.java
@@ -2,7 +2,7 @@
 
 import java.io.Closeable;
 import java.io.IOException;
-import java.net.Socket;
+import java.nio.channels.ServerSocketChannel;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
@@ -16,42 +16,41 @@
     final String id;
     volatile Mode mode = Mode.SERVE;
     private final SoakRules rules;
-    private final FakePeer peer;
+    private final ServerSocketChannel listening;
 
-    SoakServer(String id, SoakRules rules) throws IOException {
+    SoakServer(String id, SoakRules rules, ArrivalRecorder arrivals) throws IOException {
         this.id = id;
         this.rules = rules;
-        peer = new FakePeer(this::respond);
+        listening = arrivals.listen(this::respond);
     }
 
     String address() {
-        return peer.address();
+        return "127.0.0.1:" + listening.socket().getLocalPort();
     }
 
-    private void respond(Socket socket, String request) throws IOException, InterruptedException {
-        long receivedNs = System.nanoTime();
-        peer.receivedRequests.clear();
+    private void respond(ArrivalRecorder.Connection connection, String request,
+            ArrivalRecorder.Arrival arrival) throws IOException, InterruptedException {
         if (request.startsWith("GET /health")) {
-            FakePeer.respond("200 OK", "", "").run(socket, request);
+            connection.send(FakePeer.responseText("200 OK", "", ""));
             return;
         }
         Mode currentMode = mode;
-        rules.recordArrival(id, FakePeer.header(request, "X-Txn"), receivedNs,
+        rules.recordArrival(id, FakePeer.header(request, "X-Txn"), arrival,
                 Long.parseLong(FakePeer.header(request, "X-Remaining-Ms")), currentMode != Mode.REJECT);
         switch (currentMode) {
             case SERVE -> {
                 TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextInt(MAX_SERVICE_MS));
-                FakePeer.respond("200 OK", "", "done").run(socket, request);
+                connection.send(FakePeer.responseText("200 OK", "", "done"));
             }
-            case ERROR -> FakePeer.respond("500 Error", "", "").run(socket, request);
-            case REJECT -> FakePeer.respond("503 No", "X-Turned-Away: 1\r\n", "").run(socket, request);
-            case RESET -> FakePeer.RESET.run(socket, request);
+            case ERROR -> connection.send(FakePeer.responseText("500 Error", "", ""));
+            case REJECT -> connection.send(FakePeer.responseText("503 No", "X-Turned-Away: 1\r\n", ""));
+            case RESET -> connection.reset();
             default -> { }
         }
     }
 
     @Override
     public void close() throws IOException {
-        peer.close();
+        listening.close();
     }
 }
