--- a/src/test/java/cedarrelay/node/SoakNode.java
+++ b/src/test/java/cedarrelay/node/SoakNode.java
@@ -4,7 +4,6 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -66,15 +65,15 @@
 
     /** Pauses the process (SIGSTOP, SIGCONT). */
     synchronized void pause(long ms) throws Exception {
+        SoakRules.Pause pause = rules.recordPause(index);
         process.sendSignal("STOP");
-        // The process has been paused since a few milliseconds before this.
-        long fromNs = System.nanoTime();
         try {
+            process.awaitStopped();
+            pause.recordStopped();
             TimeUnit.MILLISECONDS.sleep(ms);
         } finally {
-            // Recorded before the process continues, so that checks of its first sends find the pause.
-            rules.recordPause(index, fromNs, System.nanoTime());
             process.sendSignal("CONT");
+            pause.recordEnd();
         }
     }
 
@@ -110,9 +109,7 @@
     /** Checks that the process runs and that its own counters of violations are 0. */
     synchronized void checkCounters() throws IOException {
         if (!process.isAlive()) {
-            List<String> logLines = Files.readAllLines(logFile);
-            rules.recordViolation("node " + index + " has ended unexpectedly: "
-                    + logLines.subList(Math.max(0, logLines.size() - 5), logLines.size()));
+            rules.recordViolation("node " + index + " has ended unexpectedly: " + process.lastLogLines());
             return;
         }
         if (!process.isReady()) {
