--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -10,12 +10,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
 import cedarrelay.Balancer.Result;
+import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -32,6 +35,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
@@ -43,6 +47,9 @@
     private static final int BLOCK_MS = 500;
     /** One tick of the lag measurement, plus delays of the test's own threads. */
     private static final int SLACK_MS = 100;
+    /** More than the node sends to one server at a time. */
+    private static final int QUEUED_TEST_REQUESTS = 40;
+    private static final int QUARANTINE_MS = (int) TimeUnit.MICROSECONDS.toMillis(ServerPool.QUARANTINE_US);
     private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n";
 
     private EventLoopGroup group;
@@ -297,49 +304,128 @@
         }
     }
 
-    /** More requests than the concurrency limit; clients of queued requests disconnect during loop lag. */
+    /**
+     * More requests than the concurrency limit; clients of queued requests disconnect during loop lag, before
+     * the responses that make room are read, or after that and just before queued requests are sent.
+     */
     @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void queuedRequestsAreNotSentForClientsThatDisconnectedDuringLoopLag(boolean reset) throws Exception {
-        server.setScript(FakePeer.SILENT);
+    @CsvSource({"false, false", "false, true", "true, false", "true, true"})
+    void queuedRequestsAreNotSentForClientsThatDisconnectedDuringLoopLag(boolean reset, boolean responsesRead)
+            throws Exception {
+        BlockingQueue<Socket> attemptSockets = new LinkedBlockingQueue<>();
+        server.setScript((socket, request) -> attemptSockets.add(socket));
         int port = start();
         Map<String, Socket> clients = new HashMap<>();
-        for (int i = 0; i < 40; i++) {
+        for (int i = 0; i < QUEUED_TEST_REQUESTS; i++) {
             Socket client = connect(port);
             FakePeer.write(client, viewRequest(i));
             clients.put(String.format("%016x", i), client);
         }
-        // All requests have been accepted by the time that this one has its response.
-        try (Socket last = connect(port)) {
-            FakePeer.write(last, "GET /ready HTTP/1.1\r\n\r\n");
-            FakePeer.readMessage(last);
+        int answeredRequests = awaitAllRequestsDecided(QUEUED_TEST_REQUESTS);
+        List<Socket> answeredSockets = new ArrayList<>();
+        for (int i = 0; i < answeredRequests; i++) {
+            clients.remove(FakePeer.header(server.nextRequest(), "X-Txn"));
+            answeredSockets.add(FakePeer.awaitNext(attemptSockets));
         }
-        List<Socket> attemptSockets = new ArrayList<>();
-        for (String request = server.nextRequest(); request != null;
-                request = server.receivedRequests.poll(200, TimeUnit.MILLISECONDS)) {
-            clients.remove(FakePeer.header(request, "X-Txn"));
-            attemptSockets.add(FakePeer.awaitNext(server.acceptedConnections));
-        }
-        assertTrue(clients.size() > 10, "too few requests are queued");
-        CountDownLatch disconnected = new CountDownLatch(1);
-        blockLoop(disconnected, 0);
         server.setScript(FakePeer.respond("200 OK", "", "done"));
-        for (Socket socket : attemptSockets) {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch answered = new CountDownLatch(1);
+        CountDownLatch disconnected = new CountDownLatch(1);
+        CompletableFuture<Long> attemptsWritten = new CompletableFuture<>();
+        // The blocking task itself reads the count: no attempt is written between it and the disconnects.
+        Runnable countAndBlock = () -> {
+            attemptsWritten.complete(counter("attempts_written_total"));
+            await(disconnected);
+        };
+        loop.execute(() -> {
+            blocked.countDown();
+            if (!responsesRead) {
+                countAndBlock.run();
+                return;
+            }
+            // Runs in the iteration that reads the responses: the connections leave their quarantine.
+            loop.schedule(() -> {
+                // Runs in the next iteration, before the timer that sends a queued request. The disconnects
+                // are read only after that.
+                loop.schedule(countAndBlock, 0, TimeUnit.MILLISECONDS);
+                park(2 * QUARANTINE_MS);
+            }, 0, TimeUnit.MILLISECONDS);
+            await(answered);
+        });
+        await(blocked);
+        for (Socket socket : answeredSockets) {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
+        answered.countDown();
+        long writtenBefore = attemptsWritten.get(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
+        for (long i = answeredRequests; i < writtenBefore; i++) {
+            clients.remove(FakePeer.header(server.nextRequest(), "X-Txn"));
+        }
+        assertEquals(QUEUED_TEST_REQUESTS - writtenBefore, clients.size(), "requests not sent yet");
+        assertTrue(clients.size() > 10, "too few requests are queued");
+        // The node checks the client's connection only for requests that have waited for a while.
+        park(100);
         for (Socket client : clients.values()) {
             disconnect(client, reset);
         }
         disconnected.countDown();
+        int laterRequests = 10;
         try (Socket otherClient = connect(port)) {
-            for (int i = 100; i < 110; i++) {
-                FakePeer.write(otherClient, viewRequest(i));
-                assertTrue(FakePeer.readMessage(otherClient).startsWith("HTTP/1.1 200 "));
+            for (int i = 0; i < laterRequests; i++) {
+                FakePeer.write(otherClient, viewRequest(QUEUED_TEST_REQUESTS + i));
+                assertOk(FakePeer.readMessage(otherClient));
             }
         }
         assertTrue(server.receivedRequests.stream()
                         .noneMatch(r -> clients.containsKey(FakePeer.header(r, "X-Txn"))),
                 "a request was sent for a disconnected client");
+        // The node's own count, as the server may record a request late.
+        assertEquals(writtenBefore + laterRequests,
+                loop.submit(() -> counter("attempts_written_total")).get(),
+                "attempts were written for disconnected clients");
+    }
+
+    /**
+     * Waits until the node has accepted this many requests and has written all attempts that it has decided
+     * to send. The other requests are then queued, and stay so until a server responds.
+     *
+     * @return the number of attempts written
+     */
+    private int awaitAllRequestsDecided(int requests) throws Exception {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
+        while (System.nanoTime() - endNs < 0) {
+            long written = loop.submit(() -> counter("requests_taken_total") == requests
+                    && counter("attempts_started_total") == counter("attempts_written_total")
+                    ? counter("attempts_written_total") : 0).get();
+            if (written > 0) {
+                return (int) written;
+            }
+            park(1);
+        }
+        throw new AssertionError("the node has not written its attempts in time");
+    }
+
+    /** Returns the present value of one of the node's metrics; called on the event loop. */
+    private long counter(String name) {
+        EmbeddedChannel client = openSocketlessClient("GET /metrics HTTP/1.1\r\n\r\n");
+        StringBuilder response = new StringBuilder();
+        for (ByteBuf part = client.readOutbound(); part != null; part = client.readOutbound()) {
+            response.append(part.toString(StandardCharsets.US_ASCII));
+            part.release();
+        }
+        client.close();
+        String prefix = "cedarrelay_" + name + " ";
+        return response.toString().lines().filter(line -> line.startsWith(prefix))
+                .mapToLong(line -> Long.parseLong(line.substring(prefix.length()))).findFirst().orElseThrow();
+    }
+
+    /** Opens a client connection without a socket and sends this text on it; called on the event loop. */
+    private EmbeddedChannel openSocketlessClient(String text) {
+        EmbeddedChannel client = new EmbeddedChannel();
+        node.openSocketlessClient(client.pipeline());
+        client.pipeline().fireChannelActive();
+        client.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+        return client;
     }
 
     private static void disconnect(Socket client, boolean reset) throws Exception {
@@ -369,10 +455,7 @@
                 Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", server));
                 // Requests accepted before the event loop reads its sockets.
                 for (int i = 0; i < 20; i++) {
-                    EmbeddedChannel client = new EmbeddedChannel();
-                    node.openSocketlessClient(client.pipeline());
-                    client.pipeline().fireChannelActive();
-                    client.writeInbound(Unpooled.copiedBuffer(viewRequest(i), StandardCharsets.US_ASCII));
+                    openSocketlessClient(viewRequest(i));
                 }
                 return null;
             }).get();
