--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -136,6 +136,17 @@
         }
     }
 
+    /** Sends requests with successive ids on one new connection, and waits for a 200 to each. */
+    private void sendRequests(int port, int firstId, int count) throws Exception {
+        try (Socket client = connectAndSend(port, viewRequest(firstId))) {
+            assertOk(FakePeer.readMessage(client));
+            for (int id = firstId + 1; id < firstId + count; id++) {
+                FakePeer.write(client, viewRequest(id));
+                assertOk(FakePeer.readMessage(client));
+            }
+        }
+    }
+
     /** Fails if the response is missing, because the node closed the connection, or is not a 200. */
     private static void assertOk(String response) {
         assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), "the response is " + response);
@@ -186,23 +197,21 @@
     void aRequestWhoseClientDisconnectedDuringLoopLagIsNotSent() throws Exception {
         int port = start();
         CountDownLatch disconnected = new CountDownLatch(1);
-        try (Socket stayingClient = connect(port)) {
+        try (Socket stayingClient = connectAndSend(port, viewRequest(1))) {
             // Both connections have been used, so both requests are read in the iteration after the block.
-            FakePeer.write(stayingClient, viewRequest(1));
-            FakePeer.readMessage(stayingClient);
+            assertOk(FakePeer.readMessage(stayingClient));
             server.nextRequest();
-            try (Socket leavingClient = connect(port)) {
-                FakePeer.write(leavingClient, viewRequest(2));
-                FakePeer.readMessage(leavingClient);
+            try (Socket leavingClient = connectAndSend(port, viewRequest(2))) {
+                assertOk(FakePeer.readMessage(leavingClient));
                 server.nextRequest();
                 blockLoop(disconnected, 0);
                 FakePeer.write(leavingClient, viewRequest(3));
             }
             disconnected.countDown();
             FakePeer.write(stayingClient, viewRequest(4));
-            assertTrue(FakePeer.readMessage(stayingClient).startsWith("HTTP/1.1 200 "));
+            assertOk(FakePeer.readMessage(stayingClient));
             FakePeer.write(stayingClient, viewRequest(5));
-            assertTrue(FakePeer.readMessage(stayingClient).startsWith("HTTP/1.1 200 "));
+            assertOk(FakePeer.readMessage(stayingClient));
         }
         assertEquals("0000000000000004", FakePeer.header(server.nextRequest(), "X-Txn"));
         assertEquals("0000000000000005", FakePeer.header(server.nextRequest(), "X-Txn"));
@@ -232,8 +241,7 @@
         server.setScript(FakePeer.SILENT);
         try (FakePeer other = new FakePeer(FakePeer.SILENT)) {
             int port = start(server, other);
-            Socket client = connect(port);
-            FakePeer.write(client, viewRequest(1) + pipelined);
+            Socket client = connectAndSend(port, viewRequest(1) + pipelined);
             FakePeer failingServer = firstContacted(server, other);
             FakePeer untriedServer = failingServer == server ? other : server;
             // The node checks the client's connection only for requests that have waited for a while.
@@ -252,12 +260,7 @@
             server.setScript(FakePeer.respond("200 OK", "", "done"));
             other.setScript(FakePeer.respond("200 OK", "", "done"));
             // Requests of another client are sent later than a retry would be.
-            try (Socket otherClient = connect(port)) {
-                for (int i = 2; i < 12; i++) {
-                    FakePeer.write(otherClient, viewRequest(i));
-                    assertTrue(FakePeer.readMessage(otherClient).startsWith("HTTP/1.1 200 "));
-                }
-            }
+            sendRequests(port, 2, 10);
             assertTrue(untriedServer.receivedRequests.stream()
                             .noneMatch(r -> r.contains("X-Txn: 0000000000000001")),
                     "a request was sent for a disconnected client");
@@ -279,9 +282,8 @@
         server.setScript(FakePeer.SILENT);
         try (FakePeer other = new FakePeer(FakePeer.SILENT)) {
             int port = start(server, other);
-            try (Socket client = connect(port)) {
-                FakePeer.write(client,
-                        Fixture.request("POST", "/photo/1", 1, "Idempotency-Key: k\r\n", ""));
+            try (Socket client = connectAndSend(port,
+                    Fixture.request("POST", "/photo/1", 1, "Idempotency-Key: k\r\n", ""))) {
                 FakePeer failingServer = firstContacted(server, other);
                 (failingServer == server ? other : server).setScript(FakePeer.respond("200 OK", "", "done"));
                 CountDownLatch blocked = new CountDownLatch(1);
@@ -317,9 +319,7 @@
         int port = start();
         Map<String, Socket> clients = new HashMap<>();
         for (int i = 0; i < QUEUED_TEST_REQUESTS; i++) {
-            Socket client = connect(port);
-            FakePeer.write(client, viewRequest(i));
-            clients.put(String.format("%016x", i), client);
+            clients.put(String.format("%016x", i), connectAndSend(port, viewRequest(i)));
         }
         int answeredRequests = awaitAllRequestsDecided(QUEUED_TEST_REQUESTS);
         List<Socket> answeredSockets = new ArrayList<>();
@@ -370,12 +370,7 @@
         }
         disconnected.countDown();
         int laterRequests = 10;
-        try (Socket otherClient = connect(port)) {
-            for (int i = 0; i < laterRequests; i++) {
-                FakePeer.write(otherClient, viewRequest(QUEUED_TEST_REQUESTS + i));
-                assertOk(FakePeer.readMessage(otherClient));
-            }
-        }
+        sendRequests(port, QUEUED_TEST_REQUESTS, laterRequests);
         assertTrue(server.receivedRequests.stream()
                         .noneMatch(r -> clients.containsKey(FakePeer.header(r, "X-Txn"))),
                 "a request was sent for a disconnected client");
@@ -437,12 +432,13 @@
     void anUnreadDrainIsAppliedBeforeTheNextSend() throws Exception {
         try (FakePeer readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
             int port = start(server, readyServer);
-            try (Socket client = connect(port)) {
+            try (Socket client = connectAndSend(port, READY_REQUEST)) {
+                assertOk(FakePeer.readMessage(client));
                 // Requests are sent at once on a connection that is already open.
                 for (int i = 100; server.receivedRequests.isEmpty()
                         || readyServer.receivedRequests.isEmpty(); i++) {
                     FakePeer.write(client, viewRequest(i));
-                    assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200 "));
+                    assertOk(FakePeer.readMessage(client));
                 }
             }
             server.receivedRequests.clear();
@@ -494,9 +490,8 @@
     @Test
     void requestsInKernelBuffersWhenTheNodeStopsAreAnswered() throws Exception {
         int port = start();
-        try (Socket openClient = connect(port)) {
-            FakePeer.write(openClient, viewRequest(1));
-            FakePeer.readMessage(openClient);
+        try (Socket openClient = connectAndSend(port, viewRequest(1))) {
+            assertOk(FakePeer.readMessage(openClient));
             List<Socket> newClients = new ArrayList<>();
             CountDownLatch done = new CountDownLatch(1);
             CountDownLatch requestsSent = new CountDownLatch(1);
@@ -515,11 +510,9 @@
                 park(1_000);
             });
             await(requestsSent);
-            String response = FakePeer.readMessage(openClient);
-            assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), response);
+            assertOk(FakePeer.readMessage(openClient));
             for (Socket socket : newClients) {
-                response = FakePeer.readMessage(socket);
-                assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), response);
+                assertOk(FakePeer.readMessage(socket));
                 socket.close();
             }
             await(done);
