--- a/src/test/java/cedarrelay/node/DiscoveryTest.java
+++ b/src/test/java/cedarrelay/node/DiscoveryTest.java
@@ -1,6 +1,7 @@
 package cedarrelay.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.InetAddress;
@@ -8,31 +9,50 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.locks.LockSupport;
+import java.util.concurrent.atomic.AtomicReference;
 
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonParser;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Tests what the watch reports, and that each way in which it can fail is reported once. */
 @Timeout(120)
 class DiscoveryTest implements Discovery.Listener {
     private static final int LONGER_THAN_ANY_TEST_MS = 600_000;
+    private static final Runnable NO_PAUSE = () -> { };
+
+    /** How discovery answers a call that it doesn't serve. */
+    private enum FailureResponse {
+        RESET(FakePeer.RESET),
+        CLOSE(FakePeer.CLOSE),
+        ERROR_STATUS(FakePeer.respond("503 Later", "", "busy"));
+
+        private final FakePeer.Script script;
+
+        FailureResponse(FakePeer.Script script) {
+            this.script = script;
+        }
+    }
 
     private final BlockingQueue<ServerList> lists = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> failures = new LinkedBlockingQueue<>();
+    /** The times of the calls that were reported as unanswered. */
+    private final BlockingQueue<Long> unansweredCalls = new LinkedBlockingQueue<>();
+    /** Runs once in the event loop after the next socket events and before the next timers. */
+    private final AtomicReference<Runnable> nextPause = new AtomicReference<>(NO_PAUSE);
     private EventLoopGroup group;
     private FakePeer peer;
     private int port;
@@ -47,9 +67,15 @@
         failures.add(reason);
     }
 
+    @Override
+    public void onNoResponse(long asOfNs) {
+        unansweredCalls.add(asOfNs);
+    }
+
     @BeforeEach
     void open() throws Exception {
-        group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(1,
+                PausableIoHandler.newFactory(() -> nextPause.getAndSet(NO_PAUSE).run()));
         peer = new FakePeer(FakePeer.SILENT);
         port = peer.port();
     }
@@ -190,7 +216,7 @@
                 dataSent.countDown();
                 return null;
             }, 1, TimeUnit.MILLISECONDS);
-            blockLoop(1_000);
+            LoopPause.block(1_000);
         });
         assertTrue(dataSent.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(42, FakePeer.awaitNext(lists).revision());
@@ -199,11 +225,58 @@
         loop.submit(discovery::close).get();
     }
 
-    /** Blocks the calling thread, here that of the event loop. */
-    private static void blockLoop(int ms) {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        while (System.nanoTime() - endNs < 0) {
-            LockSupport.parkNanos(endNs - System.nanoTime());
+    /**
+     * Pauses the event loop right after it has sent the next call: the first event of a watch is that its
+     * connection is established, on which the call is sent. The pause lasts until the response has been sent
+     * and for the response timeout after that, so every timer that waits for the response is due.
+     *
+     * @param pausedNs completes with the {@link System#nanoTime} at the beginning of the pause
+     */
+    private void pauseAfterNextCall(CompletableFuture<Long> pausedNs, CountDownLatch responseSent) {
+        nextPause.set(() -> {
+            pausedNs.complete(System.nanoTime());
+            try {
+                assertTrue(responseSent.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
+            } catch (InterruptedException e) {
+                throw new AssertionError(e);
+            }
+            LoopPause.block(Discovery.RESPONSE_TIMEOUT_MS);
+        });
+    }
+
+    /**
+     * A call that discovery answers with a failure isn't reported as unanswered, even if the timer runs
+     * before the failure is read: the node would take its list as confirmed at the time of the call.
+     */
+    @ParameterizedTest
+    @EnumSource
+    void aCallThatFailsDuringAPauseIsNotReportedAsUnanswered(FailureResponse response) throws Exception {
+        CompletableFuture<Long> pausedNs = new CompletableFuture<>();
+        CountDownLatch responseSent = new CountDownLatch(1);
+        peer.setScript((socket, request) -> {
+            pausedNs.join();
+            response.script.run(socket, request);
+            responseSent.countDown();
+        });
+        pauseAfterNextCall(pausedNs, responseSent);
+        subscribe(LONGER_THAN_ANY_TEST_MS);
+        assertFailsOnce();
+        assertTrue(unansweredCalls.isEmpty(), "a call that discovery answered was reported as unanswered");
+    }
+
+    @Test
+    void anUnansweredCallIsReportedAsOfItsTimeEvenAfterAPause() throws Exception {
+        CompletableFuture<Long> pausedNs = new CompletableFuture<>();
+        CountDownLatch callReceived = new CountDownLatch(1);
+        peer.setScript((socket, request) -> callReceived.countDown());
+        pauseAfterNextCall(pausedNs, callReceived);
+        long beforeCallNs = System.nanoTime();
+        subscribe(LONGER_THAN_ANY_TEST_MS);
+        assertFailsOnce();
+        assertFalse(unansweredCalls.isEmpty(), "the unanswered call was not reported");
+        for (long asOfNs : unansweredCalls) {
+            assertTrue(asOfNs - beforeCallNs >= 0 && asOfNs - pausedNs.get() <= 0,
+                    "reported as of another time than that of the call");
         }
     }
 
