--- a/src/test/java/cedarrelay/node/NodeProcess.java
+++ b/src/test/java/cedarrelay/node/NodeProcess.java
@@ -145,6 +145,17 @@
         }
     }
 
+    /** Pauses the process (SIGSTOP) and waits until the pause is in effect, in all threads. */
+    void pause() throws Exception {
+        sendSignal("STOP");
+        awaitStopped();
+    }
+
+    /** Ends a pause (SIGCONT). */
+    void resume() throws Exception {
+        sendSignal("CONT");
+    }
+
     /**
      * Waits until all threads of the process have stopped. SIGSTOP takes effect some time after it was sent:
      * on a busy machine, threads of the process may run on meanwhile.
--- a/src/test/java/cedarrelay/node/PausedProcessTest.java
+++ b/src/test/java/cedarrelay/node/PausedProcessTest.java
@@ -168,7 +168,7 @@
             while (node.metric("attempts_started_total") == 0) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
-            node.sendSignal("STOP");
+            node.pause();
             try (Socket drainingConnection = slowServer.acceptNext()) {
                 if (afterLongMessage) {
                     Fixture.sendLine(watch, longMessage(43));
@@ -176,7 +176,7 @@
                 Fixture.sendLine(watch, message(44, false, slowServer.entry("Terminating")) + "\n"
                         + Fixture.listMessage(45, false, "Ready", readyServer));
                 TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
-                node.sendSignal("CONT");
+                node.resume();
                 String response = FakePeer.readMessage(client);
                 assertEquals(0, drainingConnection.getInputStream().available(),
                         "a request was sent to a draining server");
@@ -282,11 +282,11 @@
             Fixture.sendWatchHead(socket);
             Fixture.sendLine(socket, drainAndJoin());
         });
-        node.sendSignal("STOP");
+        node.pause();
         FakePeer.RESET.run(watch, "");
         FakePeer.write(client, Fixture.request("GET", "/view", 2, "", ""));
         TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
-        node.sendSignal("CONT");
+        node.resume();
         String response = FakePeer.readMessage(client);
         assertTrue(drainingServer.receivedRequests.isEmpty(), "a request was sent to a draining server");
         assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
