--- a/src/test/java/cedarrelay/node/Fixture.java
+++ b/src/test/java/cedarrelay/node/Fixture.java
@@ -15,6 +15,9 @@
     /** The deduplication window of the class "photo" (its setting windowUs), in milliseconds. */
     static final int WINDOW_MS = 1_200;
 
+    /** The head of the response to a watch. */
+    static final String WATCH_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
     private static final String CLASSES = """
             [{"name":"view","onTimeUs":10000000,"giveUpUs":30000000,"repeat":"safe","group":"all"},
              {"name":"photo","onTimeUs":10000000,"giveUpUs":30000000,"repeat":"keyed","group":"cell",
@@ -26,6 +29,11 @@
 
     /** A configuration on any free port whose known list has these servers, all ready. */
     static JsonObject config(FakePeer discovery, FakePeer... servers) {
+        return config(discovery.address(), servers);
+    }
+
+    /** As the other method, by the address of discovery. */
+    static JsonObject config(String discoveryAddress, FakePeer... servers) {
         return JsonParser.parseString("""
                 {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,
@@ -34,7 +42,7 @@
                   "limits":{"attemptsCap":4,"cancelling":true,"parallelTries":true,"retryAfter":true,
                    "maxRetryAfterUs":1000000,"dialTimeoutUs":2000000,"connIdleUs":60000000},
                   "rules":{"askWithinUs":10000000,"drainGraceUs":500000}}}
-                """.formatted(discovery.address(), listMessage(41, true, "Ready", servers), CLASSES))
+                """.formatted(discoveryAddress, listMessage(41, true, "Ready", servers), CLASSES))
                 .getAsJsonObject();
     }
 
@@ -66,16 +74,25 @@
 
     /** Sends the head of the response to a watch. */
     static void sendWatchHead(Socket watch) throws IOException {
-        FakePeer.write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        FakePeer.write(watch, WATCH_HEAD);
     }
 
     /** Sends a line as one chunk; an empty one is a heartbeat. */
     static void sendLine(Socket watch, String line) throws IOException {
-        sendChunk(watch, line + "\n");
+        FakePeer.write(watch, line(line));
+    }
+
+    /** The chunk that carries this line. */
+    static String line(String line) {
+        return chunk(line + "\n");
     }
 
     /** Sends this text as one chunk; it may be a part of a message, or several messages. */
     static void sendChunk(Socket watch, String text) throws IOException {
-        FakePeer.write(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+        FakePeer.write(watch, chunk(text));
+    }
+
+    private static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 }
--- a/src/test/java/cedarrelay/node/PausedProcessTest.java
+++ b/src/test/java/cedarrelay/node/PausedProcessTest.java
@@ -1,6 +1,7 @@
 package cedarrelay.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -15,7 +16,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
 import com.google.gson.JsonObject;
@@ -35,23 +35,27 @@
 class PausedProcessTest {
     /** Longer than the grace period of the fixture's settings, 500 ms, plus a tolerance of 50 ms. */
     private static final int PAUSE_MS = 700;
+    /** How long after the start a node stops waiting for the first list, 1500 ms, with a margin. */
+    private static final int STARTUP_TIMER_MS = 1_700;
     /** How long a confirmation of the list permits sends: the grace period less 100 ms. */
     private static final int MAX_LIST_AGE_MS = 400;
     /** The longest time for which a node holds back a send. */
     private static final int MAX_HOLD_MS = 1_000;
+    /** The delay between two calls to discovery, 50 ms, and the time in which a call must be answered. */
+    private static final int MAX_ANSWER_DELAY_MS = 200;
     /** How often a start is tried if the test's own threads are too late for it to show anything. */
     private static final int MAX_STARTS = 8;
     /** So many servers that their message is too long for a node to read it at once. */
     private static final int LONG_MESSAGE_SERVERS = 1_500;
 
-    private FakePeer discovery;
+    private TimedDiscovery discovery;
     private FakePeer drainingServer;
     private FakePeer readyServer;
     private NodeProcess node;
 
     @BeforeEach
     void open() throws Exception {
-        discovery = new FakePeer(FakePeer.SILENT);
+        discovery = new TimedDiscovery();
         drainingServer = new FakePeer(FakePeer.respond("200 OK", "", "done"));
         readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"));
     }
@@ -67,22 +71,16 @@
     }
 
     private Socket startNode(String initialList) throws Exception {
-        JsonObject config = Fixture.config(discovery);
+        JsonObject config = Fixture.config(discovery.address());
         JsonObject settings = config.getAsJsonObject("settings");
         settings.addProperty("membershipMode", "pushed");
         settings.getAsJsonObject("limits").addProperty("dialTimeoutUs", 20_000_000);
-        CountDownLatch called = new CountDownLatch(1);
-        discovery.setScript((socket, call) -> {
-            Fixture.sendWatchHead(socket);
-            Fixture.sendLine(socket, initialList);
-            called.countDown();
-        });
+        discovery.answerWith(initialList);
         Path log = Files.createTempFile("node", ".log");
         log.toFile().deleteOnExit();
         node = new NodeProcess(config, NodeProcess.freePort(), log, Map.of());
         node.awaitReady();
-        called.await();
-        return FakePeer.awaitNext(discovery.acceptedConnections);
+        return discovery.awaitWatch();
     }
 
     /** The list changes sent while the process is paused: one server drains and another joins. */
@@ -93,6 +91,13 @@
 
     /** A server with a full accept queue: connections are established when the kernel retries after 1 s. */
     private static final class SlowToConnectServer implements AutoCloseable {
+        private static final List<Path> SOCKET_TABLES =
+                List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
+        private static final int REMOTE_ADDRESS_COLUMN = 2;
+        private static final int STATE_COLUMN = 3;
+        private static final String STATE_SYN_SENT = "02";
+        private static final int CONNECT_TIMEOUT_MS = 300;
+
         private final ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> fillers = new ArrayList<>();
 
@@ -103,7 +108,7 @@
                 Socket filler = new Socket();
                 try {
                     filler.connect(new InetSocketAddress(listening.getInetAddress(),
-                            listening.getLocalPort()), 300);
+                            listening.getLocalPort()), CONNECT_TIMEOUT_MS);
                     fillers.add(filler);
                 } catch (SocketTimeoutException e) {
                     filler.close();
@@ -112,6 +117,20 @@
             }
         }
 
+        /** Whether exactly one connection is being established, by the kernel's table of sockets. */
+        boolean isOneConnecting() throws IOException {
+            String remotePort = ":%04X".formatted(listening.getLocalPort());
+            int connecting = 0;
+            for (Path table : SOCKET_TABLES) {
+                for (String line : Files.readAllLines(table)) {
+                    String[] columns = line.trim().split("\\s+");
+                    boolean isToServer = columns[REMOTE_ADDRESS_COLUMN].endsWith(remotePort);
+                    connecting += isToServer && columns[STATE_COLUMN].equals(STATE_SYN_SENT) ? 1 : 0;
+                }
+            }
+            return connecting == 1;
+        }
+
         /** Empties the queue and waits for a connection that is none of those that filled it. */
         Socket acceptNext() throws IOException {
             List<Integer> fillerPorts = fillers.stream().map(Socket::getLocalPort).toList();
@@ -155,20 +174,32 @@
     /**
      * A failure seen in an incident: the connection for a request that waits to be sent is established while
      * the process is paused, and the drain arrives after it. Epoll reports events in order, so the node
-     * handles the connection first.
+     * handles the connection first; but a timer that falls due during the pause runs before both, and the one
+     * that ends the wait for the first list reads the watch. So this waits until that has run.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aConnectionEstablishedBeforeTheDrainIsReadCarriesNoRequest(boolean afterLongMessage)
             throws Exception {
+        startUntilOnTime(() -> connectWhilePaused(afterLongMessage));
+    }
+
+    /** Returns false if the test's threads were too late to keep the watch open; nothing is asserted then. */
+    private boolean connectWhilePaused(boolean afterLongMessage) throws Exception {
         try (SlowToConnectServer slowServer = new SlowToConnectServer()) {
             Socket watch = startNode(message(42, true, slowServer.entry("Ready")));
+            TimeUnit.MILLISECONDS.sleep(STARTUP_TIMER_MS);
+            discovery.stopHeartbeats();
             Socket client = node.connect();
             FakePeer.write(client, Fixture.request("POST", "/order", 1, "", "x"));
             while (node.metric("attempts_started_total") == 0) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             node.pause();
+            if (!isWatchKeptOpen(watch)) {
+                return false;
+            }
+            assertTrue(slowServer.isOneConnecting(), "the connection was not being established at the pause");
             try (Socket drainingConnection = slowServer.acceptNext()) {
                 if (afterLongMessage) {
                     Fixture.sendLine(watch, longMessage(43));
@@ -181,10 +212,26 @@
                 assertEquals(0, drainingConnection.getInputStream().available(),
                         "a request was sent to a draining server");
                 assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
+                return true;
             }
         }
     }
 
+    /**
+     * Called once the process is paused: whether heartbeats came often enough for the first watch to be open.
+     * Asserts that it is open then.
+     */
+    private boolean isWatchKeptOpen(Socket watch) throws IOException {
+        boolean onTime = discovery.heartbeatsWereOnTime();
+        if (onTime) {
+            watch.setSoTimeout(1);
+            assertThrows(SocketTimeoutException.class, () -> watch.getInputStream().read(),
+                    "the first watch ended before the pause");
+            assertEquals(1, discovery.watchCount(), "another watch was opened before the pause");
+        }
+        return onTime;
+    }
+
     /**
      * Changes that discovery's agent has when the node starts count as notified then, even if the node's
      * first calls fail.
@@ -193,8 +240,18 @@
     @ValueSource(booleans = {false, true})
     void aNodeThatStartsWhileDiscoveryFailsSendsNothingByItsKnownList(boolean requestBeforeReady)
             throws Exception {
+        startUntilOnTime(() -> startWhileDiscoveryFails(requestBeforeReady));
+    }
+
+    /** Starts a node and asserts what it must do, unless the test's own threads were too late. */
+    private interface TimedStart {
+        /** Returns whether the test's threads were on time; asserts nothing if not. */
+        boolean run() throws Exception;
+    }
+
+    private void startUntilOnTime(TimedStart start) throws Exception {
         int starts = 1;
-        while (!startWhileDiscoveryFails(requestBeforeReady)) {
+        while (!start.run()) {
             assertTrue(starts < MAX_STARTS, "the test's threads were too late in each of the starts");
             System.out.println("the test's threads were too late, starting another node");
             starts++;
@@ -204,16 +261,15 @@
     }
 
     /**
-     * Starts a node whose calls to discovery fail until a send is held back. Where discovery's script was too
-     * late, the node was allowed to send, and nothing is asserted, whatever the node did.
+     * Starts a node whose calls to discovery fail until a send is held back. Where the test's threads were
+     * too late, the node was allowed to send, and nothing is asserted, whatever the node did. This also
+     * excuses a node whose metrics take so long that the test can't permit an answer before a hold may end.
      *
-     * @return whether discovery's script was on time
+     * @return whether the test's threads were on time
      */
     private boolean startWhileDiscoveryFails(boolean requestBeforeReady) throws Exception {
-        JsonObject config = Fixture.config(discovery, drainingServer);
+        JsonObject config = Fixture.config(discovery.address(), drainingServer);
         config.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
-        ResettingDiscovery resettingDiscovery = new ResettingDiscovery(drainAndJoin());
-        discovery.setScript(resettingDiscovery);
         Path log = Files.createTempFile("node", ".log");
         log.toFile().deleteOnExit();
         node = new NodeProcess(config, NodeProcess.freePort(), log, Map.of());
@@ -227,12 +283,14 @@
             long holdEndNs = earliestHoldNs + TimeUnit.MILLISECONDS.toNanos(MAX_HOLD_MS);
             boolean sentBeforeHoldEnd = !drainingServer.receivedRequests.isEmpty()
                     && System.nanoTime() - holdEndNs < 0;
-            resettingDiscovery.startAnswering();
+            discovery.answerWith(drainAndJoin());
+            boolean answeredInTime = System.nanoTime() - holdEndNs
+                    < -TimeUnit.MILLISECONDS.toNanos(MAX_ANSWER_DELAY_MS);
             String response = FakePeer.readMessage(client);
             // Twice the age, as the fake server may report late that a request was sent to it.
-            boolean onTime = resettingDiscovery.wasOnTimeSince(
+            boolean onTime = discovery.wasOnTimeSince(
                     earliestHoldNs - 2 * TimeUnit.MILLISECONDS.toNanos(MAX_LIST_AGE_MS))
-                    && (sentBeforeHoldEnd || resettingDiscovery.answeredBefore(holdEndNs));
+                    && (sentBeforeHoldEnd || answeredInTime);
             if (onTime) {
                 assertTrue(drainingServer.receivedRequests.isEmpty(),
                         () -> "a request was sent to a draining server; log of the node:\n" + read(log));
@@ -273,22 +331,35 @@
     /** The watch breaks while the process is paused: the changes that it missed count as notified too. */
     @Test
     void aRequestReceivedWhileTheWatchIsBrokenWaitsForTheList() throws Exception {
+        startUntilOnTime(this::breakWatchWhilePaused);
+    }
+
+    /** Returns false if the test's threads were too late; nothing is asserted then. */
+    private boolean breakWatchWhilePaused() throws Exception {
         Socket watch = startNode(Fixture.listMessage(42, true, "Ready", drainingServer));
-        Socket client = node.connect();
-        FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
-        assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
-        drainingServer.receivedRequests.clear();
-        discovery.setScript((socket, call) -> {
-            Fixture.sendWatchHead(socket);
-            Fixture.sendLine(socket, drainAndJoin());
-        });
-        node.pause();
-        FakePeer.RESET.run(watch, "");
-        FakePeer.write(client, Fixture.request("GET", "/view", 2, "", ""));
-        TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
-        node.resume();
-        String response = FakePeer.readMessage(client);
-        assertTrue(drainingServer.receivedRequests.isEmpty(), "a request was sent to a draining server");
-        assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
+        discovery.stopHeartbeats();
+        try (Socket client = node.connect()) {
+            FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
+            assertTrue(FakePeer.readMessage(client).startsWith("HTTP/1.1 200"));
+            drainingServer.receivedRequests.clear();
+            node.pause();
+            if (!isWatchKeptOpen(watch)) {
+                return false;
+            }
+            FakePeer.RESET.run(watch, "");
+            FakePeer.write(client, Fixture.request("GET", "/view", 2, "", ""));
+            TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+            discovery.answerWith(drainAndJoin());
+            long resumedNs = System.nanoTime();
+            node.resume();
+            String response = FakePeer.readMessage(client);
+            boolean onTime = discovery.wasOnTimeSince(resumedNs);
+            if (onTime) {
+                assertTrue(drainingServer.receivedRequests.isEmpty(),
+                        "a request was sent to a draining server");
+                assertTrue(response != null && response.startsWith("HTTP/1.1 200"), response);
+            }
+            return onTime;
+        }
     }
 }
