--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -15,7 +15,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.locks.LockSupport;
 
 import cedarrelay.Balancer.Result;
 import io.netty.buffer.ByteBuf;
@@ -90,7 +89,7 @@
         loop.execute(() -> {
             blocked.countDown();
             await(released);
-            park(extraMs);
+            LoopPause.block(extraMs);
         });
         await(blocked);
     }
@@ -103,13 +102,6 @@
         }
     }
 
-    private static void park(int ms) {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        while (System.nanoTime() - endNs < 0) {
-            LockSupport.parkNanos(endNs - System.nanoTime());
-        }
-    }
-
     private static Socket connect(int port) throws Exception {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
@@ -245,7 +237,7 @@
             FakePeer failingServer = firstContacted(server, other);
             FakePeer untriedServer = failingServer == server ? other : server;
             // The node checks the client's connection only for requests that have waited for a while.
-            park(100);
+            LoopPause.block(100);
             if (bothDone.getCount() > 0) {
                 blockLoop(bothDone, 0);
             } else {
@@ -270,7 +262,7 @@
     /** Waits for the first request and returns the server that received it. */
     private static FakePeer firstContacted(FakePeer one, FakePeer other) throws Exception {
         while (one.acceptedConnections.isEmpty() && other.acceptedConnections.isEmpty()) {
-            park(1);
+            LoopPause.block(1);
         }
         FakePeer contacted = one.acceptedConnections.isEmpty() ? other : one;
         contacted.nextRequest();
@@ -290,7 +282,7 @@
                 CountDownLatch reset = new CountDownLatch(1);
                 loop.execute(() -> {
                     // Runs after the iteration that reads the reset and connects to the other server.
-                    loop.schedule(() -> park(Fixture.WINDOW_MS), 0, TimeUnit.MILLISECONDS);
+                    loop.schedule(() -> LoopPause.block(Fixture.WINDOW_MS), 0, TimeUnit.MILLISECONDS);
                     blocked.countDown();
                     await(reset);
                 });
@@ -348,7 +340,7 @@
                 // Runs in the next iteration, before the timer that sends a queued request. The disconnects
                 // are read only after that.
                 loop.schedule(countAndBlock, 0, TimeUnit.MILLISECONDS);
-                park(2 * QUARANTINE_MS);
+                LoopPause.block(2 * QUARANTINE_MS);
             }, 0, TimeUnit.MILLISECONDS);
             await(answered);
         });
@@ -364,7 +356,7 @@
         assertEquals(QUEUED_TEST_REQUESTS - writtenBefore, clients.size(), "requests not sent yet");
         assertTrue(clients.size() > 10, "too few requests are queued");
         // The node checks the client's connection only for requests that have waited for a while.
-        park(100);
+        LoopPause.block(100);
         for (Socket client : clients.values()) {
             disconnect(client, reset);
         }
@@ -395,7 +387,7 @@
             if (written > 0) {
                 return (int) written;
             }
-            park(1);
+            LoopPause.block(1);
         }
         throw new AssertionError("the node has not written its attempts in time");
     }
@@ -447,7 +439,7 @@
             Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
             Fixture.sendWatchHead(watch);
             loop.submit(() -> {
-                park(BLOCK_MS);
+                LoopPause.block(BLOCK_MS);
                 Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", server));
                 // Requests accepted before the event loop reads its sockets.
                 for (int i = 0; i < 20; i++) {
@@ -473,7 +465,7 @@
             // Runs in the iteration that accepts the connection, before the node can close it as overdue.
             loop.schedule(() -> {
                 await(written);
-                park(2_100);
+                LoopPause.block(2_100);
             }, 0, TimeUnit.MILLISECONDS);
             blocked.countDown();
             await(connected);
@@ -507,7 +499,7 @@
                     return null;
                 }, 500, TimeUnit.MILLISECONDS);
                 node.stop(done::countDown);
-                park(1_000);
+                LoopPause.block(1_000);
             });
             await(requestsSent);
             assertOk(FakePeer.readMessage(openClient));
@@ -547,10 +539,10 @@
             loop.schedule(() -> {
                 blocked.countDown();
                 await(requestSent);
-                park(BLOCK_MS);
+                LoopPause.block(BLOCK_MS);
             }, 0, TimeUnit.MILLISECONDS);
-            loop.schedule(() -> park(30), 12, TimeUnit.MILLISECONDS);
-            park(40);
+            loop.schedule(() -> LoopPause.block(30), 12, TimeUnit.MILLISECONDS);
+            LoopPause.block(40);
         });
         await(blocked);
         try (Socket client = connect(port)) {
@@ -569,7 +561,7 @@
         loop.submit(loopLag::start).get();
         CompletableFuture<Long> lagAfterBlock = new CompletableFuture<>();
         loop.execute(() -> {
-            park(BLOCK_MS);
+            LoopPause.block(BLOCK_MS);
             // Runs in the next iteration, which reads the data received during the block, and after the tick
             // that was due meanwhile.
             loop.schedule(() -> lagAfterBlock.complete(loopLag.lagUs()), 0, TimeUnit.MILLISECONDS);
