--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -261,7 +261,11 @@
 
     /** Waits for the first request and returns the server that received it. */
     private static FakePeer firstContacted(FakePeer one, FakePeer other) throws Exception {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         while (one.acceptedConnections.isEmpty() && other.acceptedConnections.isEmpty()) {
+            if (System.nanoTime() - endNs >= 0) {
+                throw new AssertionError("no server was contacted in time");
+            }
             LoopPause.block(1);
         }
         FakePeer contacted = one.acceptedConnections.isEmpty() ? other : one;
