--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -49,6 +49,8 @@
     /** More than the node sends to one server at a time. */
     private static final int QUEUED_TEST_REQUESTS = 40;
     private static final int QUARANTINE_MS = (int) TimeUnit.MICROSECONDS.toMillis(ServerPool.QUARANTINE_US);
+    /** Far below the time after which the node ends a silent watch. */
+    private static final int HEARTBEAT_INTERVAL_MS = 100;
     private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n";
 
     private EventLoopGroup group;
@@ -426,6 +428,19 @@
 
     @Test
     void anUnreadDrainIsAppliedBeforeTheNextSend() throws Exception {
+        // The node ends a silent watch after some seconds, which a slow test may take.
+        CountDownLatch heartbeatsEnough = new CountDownLatch(1);
+        CountDownLatch heartbeatsEnded = new CountDownLatch(1);
+        discovery.setScript((socket, request) -> {
+            try {
+                Fixture.sendWatchHead(socket);
+                while (!heartbeatsEnough.await(HEARTBEAT_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
+                    Fixture.sendLine(socket, "");
+                }
+            } finally {
+                heartbeatsEnded.countDown();
+            }
+        });
         try (FakePeer readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
             int port = start(server, readyServer);
             try (Socket client = connectAndSend(port, READY_REQUEST)) {
@@ -441,8 +456,9 @@
             readyServer.receivedRequests.clear();
             discovery.nextRequest();
             Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
-            Fixture.sendWatchHead(watch);
             loop.submit(() -> {
+                heartbeatsEnough.countDown();
+                await(heartbeatsEnded);
                 LoopPause.block(BLOCK_MS);
                 Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", server));
                 // Requests accepted before the event loop reads its sockets.
