--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -51,6 +51,9 @@
     private static final int QUARANTINE_MS = (int) TimeUnit.MICROSECONDS.toMillis(ServerPool.QUARANTINE_US);
     /** Far below the time after which the node ends a silent watch. */
     private static final int HEARTBEAT_INTERVAL_MS = 100;
+    /** For longer than the node leaves the client's connection of a request unchecked before a send. */
+    private static final int CLIENT_UNCHECKED_MS = 100;
+    private static final String ERROR_RESPONSE = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
     private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n";
 
     private EventLoopGroup group;
@@ -141,6 +144,19 @@
         }
     }
 
+    /** Sends requests until the node has used, and so opened, a connection to each server. */
+    private void openConnections(int port, FakePeer one, FakePeer other) throws Exception {
+        try (Socket client = connectAndSend(port, READY_REQUEST)) {
+            assertOk(FakePeer.readMessage(client));
+            for (int i = 100; one.receivedRequests.isEmpty() || other.receivedRequests.isEmpty(); i++) {
+                FakePeer.write(client, viewRequest(i));
+                assertOk(FakePeer.readMessage(client));
+            }
+        }
+        one.receivedRequests.clear();
+        other.receivedRequests.clear();
+    }
+
     /** Fails if the response is missing, because the node closed the connection, or is not a 200. */
     private static void assertOk(String response) {
         assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), "the response is " + response);
@@ -215,52 +231,65 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRetryIsNotSentForADisconnectedClientThatIsNotRead(boolean reset) throws Exception {
-        // So many pipelined requests that the node stops reading before it reaches the disconnect.
-        disconnectDuringFirstAttempt("GET /ready HTTP/1.1\r\n\r\n".repeat(2_000), reset,
-                new CountDownLatch(0));
-    }
-
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void aRetryIsNotSentForAClientThatDisconnectedDuringLoopLag(boolean reset) throws Exception {
-        disconnectDuringFirstAttempt("", reset, new CountDownLatch(1));
-    }
-
-    /**
-     * The first attempt fails and the client disconnects, by a close or a reset. If the latch isn't open, the
-     * event loop is blocked until both have happened.
-     */
-    private void disconnectDuringFirstAttempt(String pipelined, boolean reset, CountDownLatch bothDone)
-            throws Exception {
         server.setScript(FakePeer.SILENT);
         try (FakePeer other = new FakePeer(FakePeer.SILENT)) {
             int port = start(server, other);
-            Socket client = connectAndSend(port, viewRequest(1) + pipelined);
+            // So many pipelined requests that the node stops reading before it reaches the disconnect.
+            Socket client = connectAndSend(port, viewRequest(1) + READY_REQUEST.repeat(2_000));
             FakePeer failingServer = firstContacted(server, other);
             FakePeer untriedServer = failingServer == server ? other : server;
-            // The node checks the client's connection only for requests that have waited for a while.
-            LoopPause.block(100);
-            if (bothDone.getCount() > 0) {
-                blockLoop(bothDone, 0);
-            } else {
-                disconnect(client, reset);
-            }
-            FakePeer.write(failingServer.acceptedConnections.remove(),
-                    "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            if (bothDone.getCount() > 0) {
-                disconnect(client, reset);
-                bothDone.countDown();
-            }
+            LoopPause.block(CLIENT_UNCHECKED_MS);
+            disconnect(client, reset);
+            FakePeer.write(failingServer.acceptedConnections.remove(), ERROR_RESPONSE);
             server.setScript(FakePeer.respond("200 OK", "", "done"));
             other.setScript(FakePeer.respond("200 OK", "", "done"));
             // Requests of another client are sent later than a retry would be.
             sendRequests(port, 2, 10);
-            assertTrue(untriedServer.receivedRequests.stream()
-                            .noneMatch(r -> r.contains("X-Txn: 0000000000000001")),
-                    "a request was sent for a disconnected client");
+            assertNotReceived(untriedServer, 1);
         }
     }
 
+    /** The retry is decided, and could be sent at once, before the disconnect has been read. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void aRetryIsNotSentForAClientThatDisconnectedDuringLoopLag(boolean reset) throws Exception {
+        try (FakePeer other = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
+            int port = start(server, other);
+            // If the retry had to wait for a connection, the disconnect would be read meanwhile.
+            openConnections(port, server, other);
+            BlockingQueue<Socket> attemptSockets = new LinkedBlockingQueue<>();
+            server.setScript((socket, request) -> attemptSockets.add(socket));
+            other.setScript((socket, request) -> attemptSockets.add(socket));
+            Socket client = connectAndSend(port, viewRequest(1));
+            Socket attemptSocket = FakePeer.awaitNext(attemptSockets);
+            FakePeer untriedServer = attemptSocket.getLocalPort() == server.port() ? other : server;
+            // Longer than the quarantine of the connections, too.
+            LoopPause.block(CLIENT_UNCHECKED_MS);
+            long writtenBefore = loop.submit(() -> counter("attempts_written_total")).get();
+            long notSentBefore = loop.submit(() -> counter("attempts_not_sent_total")).get();
+            CountDownLatch disconnected = new CountDownLatch(1);
+            blockLoop(disconnected, 0);
+            // The event loop reads its sockets in the order in which they became readable.
+            FakePeer.write(attemptSocket, ERROR_RESPONSE);
+            disconnect(client, reset);
+            disconnected.countDown();
+            assertEquals(writtenBefore, counterAfterNextRead("attempts_written_total"),
+                    "a retry was written for a disconnected client");
+            assertEquals(notSentBefore + 1, counterAfterNextRead("attempts_not_sent_total"),
+                    "the disconnect was read before the retry was decided");
+            server.setScript(FakePeer.respond("200 OK", "", "done"));
+            other.setScript(FakePeer.respond("200 OK", "", "done"));
+            sendRequests(port, 2, 10);
+            assertNotReceived(untriedServer, 1);
+        }
+    }
+
+    private static void assertNotReceived(FakePeer peer, int id) {
+        assertTrue(peer.receivedRequests.stream()
+                        .noneMatch(r -> String.format("%016x", id).equals(FakePeer.header(r, "X-Txn"))),
+                "a request was sent for a disconnected client");
+    }
+
     /** Waits for the first request and returns the server that received it. */
     private static FakePeer firstContacted(FakePeer one, FakePeer other) throws Exception {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
@@ -361,8 +390,7 @@
         }
         assertEquals(QUEUED_TEST_REQUESTS - writtenBefore, clients.size(), "requests not sent yet");
         assertTrue(clients.size() > 10, "too few requests are queued");
-        // The node checks the client's connection only for requests that have waited for a while.
-        LoopPause.block(100);
+        LoopPause.block(CLIENT_UNCHECKED_MS);
         for (Socket client : clients.values()) {
             disconnect(client, reset);
         }
@@ -412,6 +440,12 @@
                 .mapToLong(line -> Long.parseLong(line.substring(prefix.length()))).findFirst().orElseThrow();
     }
 
+    /** Returns the value of a metric once the event loop has read what had arrived before this call. */
+    private long counterAfterNextRead(String name) throws Exception {
+        // A task scheduled by a task runs in a later iteration, which reads the sockets first.
+        return loop.submit(() -> loop.schedule(() -> counter(name), 0, TimeUnit.MILLISECONDS)).get().get();
+    }
+
     /** Opens a client connection without a socket and sends this text on it; called on the event loop. */
     private EmbeddedChannel openSocketlessClient(String text) {
         EmbeddedChannel client = new EmbeddedChannel();
@@ -443,17 +477,8 @@
         });
         try (FakePeer readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
             int port = start(server, readyServer);
-            try (Socket client = connectAndSend(port, READY_REQUEST)) {
-                assertOk(FakePeer.readMessage(client));
-                // Requests are sent at once on a connection that is already open.
-                for (int i = 100; server.receivedRequests.isEmpty()
-                        || readyServer.receivedRequests.isEmpty(); i++) {
-                    FakePeer.write(client, viewRequest(i));
-                    assertOk(FakePeer.readMessage(client));
-                }
-            }
-            server.receivedRequests.clear();
-            readyServer.receivedRequests.clear();
+            // Requests are sent at once on a connection that is already open.
+            openConnections(port, server, readyServer);
             discovery.nextRequest();
             Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
             loop.submit(() -> {
