--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -17,6 +17,7 @@
 import java.util.concurrent.TimeUnit;
 
 import cedarrelay.Balancer.Result;
+import com.google.gson.JsonObject;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -79,8 +80,11 @@
 
     private int start(FakePeer... servers) throws Exception {
         FakePeer[] knownServers = servers.length == 0 ? new FakePeer[] {server} : servers;
-        Config config = Config.read(
-                Map.of("LB_CONFIG", Fixture.writeConfig(Fixture.config(discovery, knownServers)).toString()));
+        return start(Fixture.config(discovery, knownServers));
+    }
+
+    private int start(JsonObject configJson) throws Exception {
+        Config config = Config.read(Map.of("LB_CONFIG", Fixture.writeConfig(configJson).toString()));
         node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch ready = new CountDownLatch(1);
         Channel channel = loop.submit(() -> node.start(group, 8, 0, ready::countDown)).get().sync().channel();
@@ -481,7 +485,11 @@
             }
         });
         try (FakePeer readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
-            int port = start(server, readyServer);
+            JsonObject config = Fixture.config(discovery, server, readyServer);
+            // The node doesn't replace the watch by a new one during the test.
+            config.getAsJsonObject("settings").getAsJsonObject("rules")
+                    .addProperty("askWithinUs", TimeUnit.MINUTES.toMicros(10));
+            int port = start(config);
             // Requests are sent at once on a connection that is already open.
             openConnections(port, server, readyServer);
             discovery.nextRequest();
