--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -247,7 +247,7 @@
             Socket client = connectAndSend(port, viewRequest(1) + READY_REQUEST.repeat(2_000));
             FakePeer failingServer = firstContacted(server, other);
             FakePeer untriedServer = failingServer == server ? other : server;
-            LoopPause.block(CLIENT_UNCHECKED_MS);
+            Thread.sleep(CLIENT_UNCHECKED_MS);
             disconnect(client, reset);
             FakePeer.write(failingServer.acceptedConnections.remove(), ERROR_RESPONSE);
             server.setScript(FakePeer.respond("200 OK", "", "done"));
@@ -273,7 +273,7 @@
             Socket attemptSocket = FakePeer.awaitNext(attemptSockets);
             FakePeer untriedServer = attemptSocket.getLocalPort() == server.port() ? other : server;
             // Longer than the quarantine of the connections, too.
-            LoopPause.block(CLIENT_UNCHECKED_MS);
+            Thread.sleep(CLIENT_UNCHECKED_MS);
             long writtenBefore = loop.submit(() -> counter("attempts_written_total")).get();
             long notSentBefore = loop.submit(() -> counter("attempts_not_sent_total")).get();
             CountDownLatch disconnected = new CountDownLatch(1);
@@ -306,7 +306,7 @@
             if (System.nanoTime() - endNs >= 0) {
                 throw new AssertionError("no server was contacted in time");
             }
-            LoopPause.block(1);
+            Thread.sleep(1);
         }
         FakePeer contacted = one.acceptedConnections.isEmpty() ? other : one;
         contacted.nextRequest();
@@ -399,7 +399,7 @@
         }
         assertEquals(QUEUED_TEST_REQUESTS - writtenBefore, clients.size(), "requests not sent yet");
         assertTrue(clients.size() > 10, "too few requests are queued");
-        LoopPause.block(CLIENT_UNCHECKED_MS);
+        Thread.sleep(CLIENT_UNCHECKED_MS);
         for (Socket client : clients.values()) {
             disconnect(client, reset);
         }
@@ -430,7 +430,7 @@
             if (written > 0) {
                 return (int) written;
             }
-            LoopPause.block(1);
+            Thread.sleep(1);
         }
         throw new AssertionError("the node has not written its attempts in time");
     }
