--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -152,7 +152,11 @@
     private void openConnections(int port, FakePeer one, FakePeer other) throws Exception {
         try (Socket client = connectAndSend(port, READY_REQUEST)) {
             assertOk(FakePeer.readMessage(client));
+            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
             for (int i = 100; one.receivedRequests.isEmpty() || other.receivedRequests.isEmpty(); i++) {
+                if (System.nanoTime() - endNs >= 0) {
+                    throw new AssertionError("a server was not contacted in time");
+                }
                 FakePeer.write(client, viewRequest(i));
                 assertOk(FakePeer.readMessage(client));
             }
