--- a/src/test/java/cedarrelay/node/EventLoopLagTest.java
+++ b/src/test/java/cedarrelay/node/EventLoopLagTest.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.locks.LockSupport;
 
 import cedarrelay.Balancer.Result;
+import com.google.gson.JsonObject;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -50,6 +50,11 @@
     /** More than the node sends to one server at a time. */
     private static final int QUEUED_TEST_REQUESTS = 40;
     private static final int QUARANTINE_MS = (int) TimeUnit.MICROSECONDS.toMillis(ServerPool.QUARANTINE_US);
+    /** Far below the time after which the node ends a silent watch. */
+    private static final int HEARTBEAT_INTERVAL_MS = 100;
+    /** For longer than the node leaves the client's connection of a request unchecked before a send. */
+    private static final int CLIENT_UNCHECKED_MS = 100;
+    private static final String ERROR_RESPONSE = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
     private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\n\r\n";
 
     private EventLoopGroup group;
@@ -75,8 +80,11 @@
 
     private int start(FakePeer... servers) throws Exception {
         FakePeer[] knownServers = servers.length == 0 ? new FakePeer[] {server} : servers;
-        Config config = Config.read(
-                Map.of("LB_CONFIG", Fixture.writeConfig(Fixture.config(discovery, knownServers)).toString()));
+        return start(Fixture.config(discovery, knownServers));
+    }
+
+    private int start(JsonObject configJson) throws Exception {
+        Config config = Config.read(Map.of("LB_CONFIG", Fixture.writeConfig(configJson).toString()));
         node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch ready = new CountDownLatch(1);
         Channel channel = loop.submit(() -> node.start(group, 8, 0, ready::countDown)).get().sync().channel();
@@ -90,7 +98,7 @@
         loop.execute(() -> {
             blocked.countDown();
             await(released);
-            park(extraMs);
+            LoopPause.block(extraMs);
         });
         await(blocked);
     }
@@ -103,13 +111,6 @@
         }
     }
 
-    private static void park(int ms) {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        while (System.nanoTime() - endNs < 0) {
-            LockSupport.parkNanos(endNs - System.nanoTime());
-        }
-    }
-
     private static Socket connect(int port) throws Exception {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
@@ -147,6 +148,23 @@
         }
     }
 
+    /** Sends requests until the node has used, and so opened, a connection to each server. */
+    private void openConnections(int port, FakePeer one, FakePeer other) throws Exception {
+        try (Socket client = connectAndSend(port, READY_REQUEST)) {
+            assertOk(FakePeer.readMessage(client));
+            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
+            for (int i = 100; one.receivedRequests.isEmpty() || other.receivedRequests.isEmpty(); i++) {
+                if (System.nanoTime() - endNs >= 0) {
+                    throw new AssertionError("a server was not contacted in time");
+                }
+                FakePeer.write(client, viewRequest(i));
+                assertOk(FakePeer.readMessage(client));
+            }
+        }
+        one.receivedRequests.clear();
+        other.receivedRequests.clear();
+    }
+
     /** Fails if the response is missing, because the node closed the connection, or is not a 200. */
     private static void assertOk(String response) {
         assertTrue(response != null && response.startsWith("HTTP/1.1 200 "), "the response is " + response);
@@ -197,6 +215,7 @@
     void aRequestWhoseClientDisconnectedDuringLoopLagIsNotSent() throws Exception {
         int port = start();
         CountDownLatch disconnected = new CountDownLatch(1);
+        long writtenBefore;
         try (Socket stayingClient = connectAndSend(port, viewRequest(1))) {
             // Both connections have been used, so both requests are read in the iteration after the block.
             assertOk(FakePeer.readMessage(stayingClient));
@@ -204,6 +223,7 @@
             try (Socket leavingClient = connectAndSend(port, viewRequest(2))) {
                 assertOk(FakePeer.readMessage(leavingClient));
                 server.nextRequest();
+                writtenBefore = loop.submit(() -> counter("attempts_written_total")).get();
                 blockLoop(disconnected, 0);
                 FakePeer.write(leavingClient, viewRequest(3));
             }
@@ -216,61 +236,81 @@
         assertEquals("0000000000000004", FakePeer.header(server.nextRequest(), "X-Txn"));
         assertEquals("0000000000000005", FakePeer.header(server.nextRequest(), "X-Txn"));
         assertTrue(server.receivedRequests.isEmpty(), "a request was sent for a disconnected client");
+        // The node's own count, as the server may record a request late.
+        assertEquals(writtenBefore + 2, loop.submit(() -> counter("attempts_written_total")).get(),
+                "an attempt was written for a disconnected client");
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRetryIsNotSentForADisconnectedClientThatIsNotRead(boolean reset) throws Exception {
-        // So many pipelined requests that the node stops reading before it reaches the disconnect.
-        disconnectDuringFirstAttempt("GET /ready HTTP/1.1\r\n\r\n".repeat(2_000), reset,
-                new CountDownLatch(0));
-    }
-
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void aRetryIsNotSentForAClientThatDisconnectedDuringLoopLag(boolean reset) throws Exception {
-        disconnectDuringFirstAttempt("", reset, new CountDownLatch(1));
-    }
-
-    /**
-     * The first attempt fails and the client disconnects, by a close or a reset. If the latch isn't open, the
-     * event loop is blocked until both have happened.
-     */
-    private void disconnectDuringFirstAttempt(String pipelined, boolean reset, CountDownLatch bothDone)
-            throws Exception {
         server.setScript(FakePeer.SILENT);
         try (FakePeer other = new FakePeer(FakePeer.SILENT)) {
             int port = start(server, other);
-            Socket client = connectAndSend(port, viewRequest(1) + pipelined);
+            // So many pipelined requests that the node stops reading before it reaches the disconnect.
+            Socket client = connectAndSend(port, viewRequest(1) + READY_REQUEST.repeat(2_000));
             FakePeer failingServer = firstContacted(server, other);
             FakePeer untriedServer = failingServer == server ? other : server;
-            // The node checks the client's connection only for requests that have waited for a while.
-            park(100);
-            if (bothDone.getCount() > 0) {
-                blockLoop(bothDone, 0);
-            } else {
-                disconnect(client, reset);
-            }
-            FakePeer.write(failingServer.acceptedConnections.remove(),
-                    "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            if (bothDone.getCount() > 0) {
-                disconnect(client, reset);
-                bothDone.countDown();
-            }
+            Thread.sleep(CLIENT_UNCHECKED_MS);
+            disconnect(client, reset);
+            FakePeer.write(failingServer.acceptedConnections.remove(), ERROR_RESPONSE);
             server.setScript(FakePeer.respond("200 OK", "", "done"));
             other.setScript(FakePeer.respond("200 OK", "", "done"));
             // Requests of another client are sent later than a retry would be.
             sendRequests(port, 2, 10);
-            assertTrue(untriedServer.receivedRequests.stream()
-                            .noneMatch(r -> r.contains("X-Txn: 0000000000000001")),
-                    "a request was sent for a disconnected client");
+            assertNotReceived(untriedServer, 1);
         }
     }
 
+    /** The retry is decided, and could be sent at once, before the disconnect has been read. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void aRetryIsNotSentForAClientThatDisconnectedDuringLoopLag(boolean reset) throws Exception {
+        try (FakePeer other = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
+            int port = start(server, other);
+            // If the retry had to wait for a connection, the disconnect would be read meanwhile.
+            openConnections(port, server, other);
+            BlockingQueue<Socket> attemptSockets = new LinkedBlockingQueue<>();
+            server.setScript((socket, request) -> attemptSockets.add(socket));
+            other.setScript((socket, request) -> attemptSockets.add(socket));
+            Socket client = connectAndSend(port, viewRequest(1));
+            Socket attemptSocket = FakePeer.awaitNext(attemptSockets);
+            FakePeer untriedServer = attemptSocket.getLocalPort() == server.port() ? other : server;
+            // Longer than the quarantine of the connections, too.
+            Thread.sleep(CLIENT_UNCHECKED_MS);
+            long writtenBefore = loop.submit(() -> counter("attempts_written_total")).get();
+            long notSentBefore = loop.submit(() -> counter("attempts_not_sent_total")).get();
+            CountDownLatch disconnected = new CountDownLatch(1);
+            blockLoop(disconnected, 0);
+            // The event loop reads its sockets in the order in which they became readable.
+            FakePeer.write(attemptSocket, ERROR_RESPONSE);
+            disconnect(client, reset);
+            disconnected.countDown();
+            assertEquals(writtenBefore, counterAfterNextRead("attempts_written_total"),
+                    "a retry was written for a disconnected client");
+            assertEquals(notSentBefore + 1, counterAfterNextRead("attempts_not_sent_total"),
+                    "the disconnect was read before the retry was decided");
+            server.setScript(FakePeer.respond("200 OK", "", "done"));
+            other.setScript(FakePeer.respond("200 OK", "", "done"));
+            sendRequests(port, 2, 10);
+            assertNotReceived(untriedServer, 1);
+        }
+    }
+
+    private static void assertNotReceived(FakePeer peer, int id) {
+        assertTrue(peer.receivedRequests.stream()
+                        .noneMatch(r -> String.format("%016x", id).equals(FakePeer.header(r, "X-Txn"))),
+                "a request was sent for a disconnected client");
+    }
+
     /** Waits for the first request and returns the server that received it. */
     private static FakePeer firstContacted(FakePeer one, FakePeer other) throws Exception {
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         while (one.acceptedConnections.isEmpty() && other.acceptedConnections.isEmpty()) {
-            park(1);
+            if (System.nanoTime() - endNs >= 0) {
+                throw new AssertionError("no server was contacted in time");
+            }
+            Thread.sleep(1);
         }
         FakePeer contacted = one.acceptedConnections.isEmpty() ? other : one;
         contacted.nextRequest();
@@ -290,7 +330,7 @@
                 CountDownLatch reset = new CountDownLatch(1);
                 loop.execute(() -> {
                     // Runs after the iteration that reads the reset and connects to the other server.
-                    loop.schedule(() -> park(Fixture.WINDOW_MS), 0, TimeUnit.MILLISECONDS);
+                    loop.schedule(() -> LoopPause.block(Fixture.WINDOW_MS), 0, TimeUnit.MILLISECONDS);
                     blocked.countDown();
                     await(reset);
                 });
@@ -348,7 +388,7 @@
                 // Runs in the next iteration, before the timer that sends a queued request. The disconnects
                 // are read only after that.
                 loop.schedule(countAndBlock, 0, TimeUnit.MILLISECONDS);
-                park(2 * QUARANTINE_MS);
+                LoopPause.block(2 * QUARANTINE_MS);
             }, 0, TimeUnit.MILLISECONDS);
             await(answered);
         });
@@ -363,8 +403,7 @@
         }
         assertEquals(QUEUED_TEST_REQUESTS - writtenBefore, clients.size(), "requests not sent yet");
         assertTrue(clients.size() > 10, "too few requests are queued");
-        // The node checks the client's connection only for requests that have waited for a while.
-        park(100);
+        Thread.sleep(CLIENT_UNCHECKED_MS);
         for (Socket client : clients.values()) {
             disconnect(client, reset);
         }
@@ -395,7 +434,7 @@
             if (written > 0) {
                 return (int) written;
             }
-            park(1);
+            Thread.sleep(1);
         }
         throw new AssertionError("the node has not written its attempts in time");
     }
@@ -414,6 +453,12 @@
                 .mapToLong(line -> Long.parseLong(line.substring(prefix.length()))).findFirst().orElseThrow();
     }
 
+    /** Returns the value of a metric once the event loop has read what had arrived before this call. */
+    private long counterAfterNextRead(String name) throws Exception {
+        // A task scheduled by a task runs in a later iteration, which reads the sockets first.
+        return loop.submit(() -> loop.schedule(() -> counter(name), 0, TimeUnit.MILLISECONDS)).get().get();
+    }
+
     /** Opens a client connection without a socket and sends this text on it; called on the event loop. */
     private EmbeddedChannel openSocketlessClient(String text) {
         EmbeddedChannel client = new EmbeddedChannel();
@@ -430,24 +475,33 @@
 
     @Test
     void anUnreadDrainIsAppliedBeforeTheNextSend() throws Exception {
-        try (FakePeer readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
-            int port = start(server, readyServer);
-            try (Socket client = connectAndSend(port, READY_REQUEST)) {
-                assertOk(FakePeer.readMessage(client));
-                // Requests are sent at once on a connection that is already open.
-                for (int i = 100; server.receivedRequests.isEmpty()
-                        || readyServer.receivedRequests.isEmpty(); i++) {
-                    FakePeer.write(client, viewRequest(i));
-                    assertOk(FakePeer.readMessage(client));
+        // The node ends a silent watch after some seconds, which a slow test may take.
+        CountDownLatch heartbeatsEnough = new CountDownLatch(1);
+        CountDownLatch heartbeatsEnded = new CountDownLatch(1);
+        discovery.setScript((socket, request) -> {
+            try {
+                Fixture.sendWatchHead(socket);
+                while (!heartbeatsEnough.await(HEARTBEAT_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
+                    Fixture.sendLine(socket, "");
                 }
+            } finally {
+                heartbeatsEnded.countDown();
             }
-            server.receivedRequests.clear();
-            readyServer.receivedRequests.clear();
+        });
+        try (FakePeer readyServer = new FakePeer(FakePeer.respond("200 OK", "", "done"))) {
+            JsonObject config = Fixture.config(discovery, server, readyServer);
+            // The node doesn't replace the watch by a new one during the test.
+            config.getAsJsonObject("settings").getAsJsonObject("rules")
+                    .addProperty("askWithinUs", TimeUnit.MINUTES.toMicros(10));
+            int port = start(config);
+            // Requests are sent at once on a connection that is already open.
+            openConnections(port, server, readyServer);
             discovery.nextRequest();
             Socket watch = FakePeer.awaitNext(discovery.acceptedConnections);
-            Fixture.sendWatchHead(watch);
             loop.submit(() -> {
-                park(BLOCK_MS);
+                heartbeatsEnough.countDown();
+                await(heartbeatsEnded);
+                LoopPause.block(BLOCK_MS);
                 Fixture.sendLine(watch, Fixture.listMessage(42, false, "Terminating", server));
                 // Requests accepted before the event loop reads its sockets.
                 for (int i = 0; i < 20; i++) {
@@ -473,7 +527,7 @@
             // Runs in the iteration that accepts the connection, before the node can close it as overdue.
             loop.schedule(() -> {
                 await(written);
-                park(2_100);
+                LoopPause.block(2_100);
             }, 0, TimeUnit.MILLISECONDS);
             blocked.countDown();
             await(connected);
@@ -507,7 +561,7 @@
                     return null;
                 }, 500, TimeUnit.MILLISECONDS);
                 node.stop(done::countDown);
-                park(1_000);
+                LoopPause.block(1_000);
             });
             await(requestsSent);
             assertOk(FakePeer.readMessage(openClient));
@@ -547,10 +601,10 @@
             loop.schedule(() -> {
                 blocked.countDown();
                 await(requestSent);
-                park(BLOCK_MS);
+                LoopPause.block(BLOCK_MS);
             }, 0, TimeUnit.MILLISECONDS);
-            loop.schedule(() -> park(30), 12, TimeUnit.MILLISECONDS);
-            park(40);
+            loop.schedule(() -> LoopPause.block(30), 12, TimeUnit.MILLISECONDS);
+            LoopPause.block(40);
         });
         await(blocked);
         try (Socket client = connect(port)) {
@@ -569,7 +623,7 @@
         loop.submit(loopLag::start).get();
         CompletableFuture<Long> lagAfterBlock = new CompletableFuture<>();
         loop.execute(() -> {
-            park(BLOCK_MS);
+            LoopPause.block(BLOCK_MS);
             // Runs in the next iteration, which reads the data received during the block, and after the tick
             // that was due meanwhile.
             loop.schedule(() -> lagAfterBlock.complete(loopLag.lagUs()), 0, TimeUnit.MILLISECONDS);
